--- a/crates/whinhill-simhost/src/main.rs
+++ b/crates/whinhill-simhost/src/main.rs
@@ -1,4 +1,6 @@
-//! Hosts one assigner for each instance that the simulator names, on standard input and output.
+//! Runs the assigner instances that the simulator names.
+//!
+//! Reads batches of events from standard input and writes each instance's orders to standard output.
 
 mod host;
 mod wire;
@@ -10,8 +12,8 @@
     let input = BufReader::with_capacity(1 << 20, stdin().lock());
     match host::run(input, BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("whinhill-simhost: {failure}");
+        Err(error) => {
+            eprintln!("whinhill-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/whinhill-simhost/src/wire.rs
+++ b/crates/whinhill-simhost/src/wire.rs
@@ -1,4 +1,7 @@
-//! The wire's lines: taking them apart, and writing orders. The bench's words end here.
+//! The simulator's line protocol: parses events and writes orders.
+//!
+//! A line is a list of fields separated by single spaces. This module maps the protocol's names to those of
+//! `whinhill::interface`; no other module knows them.
 
 use std::fmt::{self, Write};
 use std::str::{FromStr, Split};
@@ -9,187 +12,197 @@
 };
 use whinhill_names::{set_figure, Names};
 
-/// What is wrong with a line, in plain words.
+/// Says what is wrong with a line.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
+pub struct ParseError(pub String);
 
-impl From<String> for Malformed {
+impl From<String> for ParseError {
     fn from(text: String) -> Self {
-        Malformed(text)
+        ParseError(text)
     }
 }
 
-impl From<SettingsError> for Malformed {
+impl From<SettingsError> for ParseError {
     fn from(error: SettingsError) -> Self {
-        Malformed(error.to_string())
+        ParseError(error.to_string())
     }
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-/// The parts of a line, taken one after the other.
-pub struct Parts<'a>(Split<'a, char>);
+/// The fields of a line, read one after the other.
+pub struct Fields<'a>(Split<'a, char>);
 
-impl<'a> Parts<'a> {
-    pub fn of(line: &'a str) -> Self {
-        Parts(line.split(' '))
+impl<'a> Fields<'a> {
+    /// Splits a line into its fields.
+    pub fn new(line: &'a str) -> Self {
+        Fields(line.split(' '))
     }
 
-    pub fn word(&mut self, what: &str) -> Result<&'a str, Malformed> {
-        self.0.next().filter(|w| !w.is_empty()).ok_or_else(|| Malformed(format!("{what} is missing")))
+    /// The next field as text; an empty or missing field is an error.
+    pub fn text(&mut self, name: &str) -> Result<&'a str, ParseError> {
+        self.0
+            .next()
+            .filter(|field| !field.is_empty())
+            .ok_or_else(|| ParseError(format!("{name} is missing")))
     }
 
-    /// A value, or `None` for `-`.
-    pub fn maybe<T: FromStr>(&mut self, what: &str) -> Result<Option<T>, Malformed> {
-        match self.word(what)? {
+    /// The next field as a value, or `None` for `-`.
+    pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, ParseError> {
+        match self.text(name)? {
             "-" => Ok(None),
             word => {
-                word.parse().map(Some).map_err(|_| Malformed(format!("cannot read {what} from {word:?}")))
+                word.parse().map(Some).map_err(|_| ParseError(format!("cannot read {name} from {word:?}")))
             }
         }
     }
 
-    pub fn value<T: FromStr>(&mut self, what: &str) -> Result<T, Malformed> {
-        self.maybe(what)?.ok_or_else(|| Malformed(format!("{what} is absent")))
+    /// The next field as a value; `-` is an error.
+    pub fn required<T: FromStr>(&mut self, name: &str) -> Result<T, ParseError> {
+        self.optional(name)?.ok_or_else(|| ParseError(format!("{name} is absent")))
     }
 
-    pub fn flag(&mut self, what: &str) -> Result<bool, Malformed> {
-        match self.word(what)? {
+    /// The next field as a boolean, written `1` or `0`.
+    pub fn flag(&mut self, name: &str) -> Result<bool, ParseError> {
+        match self.text(name)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            word => Err(Malformed(format!("cannot read {what} from {word:?}"))),
+            word => Err(ParseError(format!("cannot read {name} from {word:?}"))),
         }
     }
 
-    /// A time in milliseconds; an absent or negative one reads as zero.
-    pub fn time(&mut self, what: &str) -> Result<Duration, Malformed> {
-        let ms: f64 = self.maybe(what)?.unwrap_or(0.0);
+    /// The next field as a time in milliseconds; `-` and negative values read as zero.
+    pub fn time(&mut self, name: &str) -> Result<Duration, ParseError> {
+        let ms: f64 = self.optional(name)?.unwrap_or(0.0);
         if !ms.is_finite() {
-            return Err(Malformed(format!("{what} is not a time")));
+            return Err(ParseError(format!("{name} is not a time")));
         }
         Ok(Duration::from_micros((ms.max(0.0) * 1e3).round() as u64))
     }
 
-    pub fn settings(self) -> Result<Settings, Malformed> {
-        let pairs = self.0.filter(|p| !p.is_empty()).map(|pair| {
+    /// The remaining fields as settings, each written `path=value`.
+    pub fn settings(self) -> Result<Settings, ParseError> {
+        let pairs = self.0.filter(|pair| !pair.is_empty()).map(|pair| {
             let (path, value) =
                 pair.split_once('=').ok_or_else(|| format!("setting {pair:?} is not path=value"))?;
             Ok((path.to_string(), value.to_string()))
         });
-        Ok(Settings(pairs.collect::<Result<_, Malformed>>()?))
+        Ok(Settings(pairs.collect::<Result<_, ParseError>>()?))
     }
 }
 
-/// The lines of one instance, read and written by the names that it meets.
-pub struct Door(Names);
+/// Parses and writes the lines of one instance, and maps server, zone and method names to indices.
+pub struct WireCodec(Names);
 
-impl Door {
+impl WireCodec {
+    /// A codec that knows the zones, methods, slices and report fields of `settings`.
     pub fn new(settings: &Settings) -> Self {
-        Door(Names::new(settings))
+        WireCodec(Names::new(settings))
     }
 
-    fn method(&self, name: &str) -> Result<MethodId, Malformed> {
-        self.0.method(name).ok_or_else(|| Malformed(format!("unknown class {name:?}")))
+    fn method(&self, name: &str) -> Result<MethodId, ParseError> {
+        self.0.method(name).ok_or_else(|| ParseError(format!("unknown class {name:?}")))
     }
 
-    fn slice(&self, parts: &mut Parts) -> Result<SliceId, Malformed> {
-        let slice = parts.value("table")?;
-        self.0.slice(slice).ok_or_else(|| Malformed(format!("there is no slice {slice}")))
+    fn slice(&self, fields: &mut Fields) -> Result<SliceId, ParseError> {
+        let slice = fields.required("table")?;
+        self.0.slice(slice).ok_or_else(|| ParseError(format!("there is no slice {slice}")))
     }
 
-    /// Values stand in the order of `report.fields`; names that we do not know are skipped.
-    fn load(&self, row: &str) -> Result<LoadReport, Malformed> {
+    /// Parses a load report. Values are in the order of the setting `report.fields`; unknown names are skipped.
+    fn parse_load(&self, values: &str) -> Result<LoadReport, ParseError> {
         let mut load = LoadReport::default();
-        if row == "-" {
+        if values == "-" {
             return Ok(load);
         }
-        for (name, word) in self.0.report().zip(row.split(',')) {
+        for (name, word) in self.0.report().zip(values.split(',')) {
             if word == "-" || word.is_empty() {
                 continue;
             }
-            let value = word.parse().map_err(|_| Malformed(format!("cannot read {name} from {word:?}")))?;
+            let value = word.parse().map_err(|_| ParseError(format!("cannot read {name} from {word:?}")))?;
             set_figure(&mut load, name, value);
         }
         Ok(load)
     }
 
-    /// One `m` line of a list.
-    pub fn entry(&mut self, line: &str) -> Result<Entry, Malformed> {
-        let mut parts = Parts::of(line);
-        if parts.word("the verb")? != "m" {
-            return Err(Malformed("an entry of the list was expected".into()));
+    /// Parses one `m` line: an entry of a server list.
+    pub fn parse_entry(&mut self, line: &str) -> Result<Entry, ParseError> {
+        let mut fields = Fields::new(line);
+        if fields.text("the verb")? != "m" {
+            return Err(ParseError("a list entry was expected".into()));
         }
-        let ep = self.0.ep(parts.word("task")?);
-        let zone = self.0.zone(parts.word("campus")?);
-        parts.word("machine")?;
-        parts.word("unitGroup")?;
-        let listed = match parts.word("status")? {
+        let ep = self.0.ep(fields.text("task")?);
+        let zone = self.0.zone(fields.text("campus")?);
+        fields.text("machine")?;
+        fields.text("unitGroup")?;
+        let listed = match fields.text("status")? {
             "U" => Listed::Ready,
             "L" => Listed::Draining,
             "D" => Listed::Gone,
-            word => return Err(Malformed(format!("unknown status {word:?}"))),
+            word => return Err(ParseError(format!("unknown status {word:?}"))),
         };
-        let size = parts.maybe("size")?.unwrap_or(1.0);
-        let started = Some(parts.time("startTime")?).filter(|t| !t.is_zero());
+        let size = fields.optional("size")?.unwrap_or(1.0);
+        let started = Some(fields.time("startTime")?).filter(|time| !time.is_zero());
         Ok(Entry { ep, zone, listed, size, started })
     }
 
-    /// The event of one line, after verb and instance; `None` for one that the module has no use for.
-    pub fn event(&mut self, verb: &str, mut parts: Parts) -> Result<Option<Event>, Malformed> {
+    /// Parses the fields that follow the verb and the instance; `None` for an event that the assigner does not use.
+    pub fn parse_event(&mut self, verb: &str, mut fields: Fields) -> Result<Option<Event>, ParseError> {
         Ok(Some(match verb {
             "roundup" => {
-                let wait = parts.time("waitTime")?;
-                let tries = parts.value("total")?;
-                let zone = self.0.zone(parts.word("campus")?);
-                let ep = self.0.ep(parts.word("task")?);
-                let span = parts.time("span")?;
-                let lost = parts.value("lost")?;
-                let load = self.load(parts.word("serverStats")?)?;
+                let wait = fields.time("waitTime")?;
+                let tries = fields.required("total")?;
+                let zone = self.0.zone(fields.text("campus")?);
+                let ep = self.0.ep(fields.text("task")?);
+                let span = fields.time("span")?;
+                let lost = fields.required("lost")?;
+                let load = self.parse_load(fields.text("serverStats")?)?;
                 Event::Met { ep, zone, tries, lost, wait, span, load }
             }
             "range_load" => {
-                let slice = self.slice(&mut parts)?;
-                let rpcs = parts.value("total")?;
-                let lost = parts.value("lost")?;
-                let method = self.method(parts.word("qos")?)?;
-                Event::Demand { slice, method, rpcs, lost, span: parts.time("span")? }
+                let slice = self.slice(&mut fields)?;
+                let rpcs = fields.required("total")?;
+                let lost = fields.required("lost")?;
+                let method = self.method(fields.text("qos")?)?;
+                Event::Demand { slice, method, rpcs, lost, span: fields.time("span")? }
             }
             "check_result" => {
-                let ep = self.0.ep(parts.word("task")?);
-                let result = match parts.word("code")? {
+                let ep = self.0.ep(fields.text("task")?);
+                let result = match fields.text("code")? {
                     "S" => Probe::Ok,
                     "E" => Probe::Aborted,
                     "F" => Probe::PushedBack,
                     "T" | "C" | "R" | "X" | "N" => Probe::Unanswered,
-                    word => return Err(Malformed(format!("unknown code {word:?}"))),
+                    word => return Err(ParseError(format!("unknown code {word:?}"))),
                 };
-                parts.time("waitTime")?;
-                Event::Probed { ep, result, load: self.load(parts.word("serverStats")?)? }
+                fields.time("waitTime")?;
+                Event::Probed { ep, result, load: self.parse_load(fields.text("serverStats")?)? }
             }
-            "dialled_in" => {
-                Event::Joined { proxy: parts.value("clientLb")?, zone: self.0.zone(parts.word("campus")?) }
-            }
-            "dropped_off" => Event::Left { proxy: parts.value("clientLb")? },
+            "dialled_in" => Event::Joined {
+                proxy: fields.required("clientLb")?,
+                zone: self.0.zone(fields.text("campus")?),
+            },
+            "dropped_off" => Event::Left { proxy: fields.required("clientLb")? },
             "acked" => {
-                let proxy = parts.value("clientLb")?;
-                let way = parts.time("waitTime")?;
-                Event::Acked { proxy, mark: parts.value("gen")?, way }
+                let proxy = fields.required("clientLb")?;
+                let way = fields.time("waitTime")?;
+                Event::Acked { proxy, mark: fields.required("gen")?, way }
             }
             "custody" => {
-                let slice = self.slice(&mut parts)?;
-                match parts.flag("flag")? {
+                let slice = self.slice(&mut fields)?;
+                match fields.flag("flag")? {
                     true => Event::Given { slice },
                     false => Event::Taken { slice },
                 }
             }
             "on_record" => {
-                let weight: f64 = parts.value("size")?;
-                let ep = self.0.ep(parts.word("task")?);
-                let slice = self.slice(&mut parts)?;
+                let weight: f64 = fields.required("size")?;
+                let ep = self.0.ep(fields.text("task")?);
+                let slice = self.slice(&mut fields)?;
                 if weight <= 0.0 {
                     return Ok(None);
                 }
@@ -197,36 +210,37 @@
             }
             "elapsed" => Event::Timer,
             "memo" | "offered_load" => return Ok(None),
-            _ => return Err(Malformed(format!("unknown verb {verb:?}"))),
+            _ => return Err(ParseError(format!("unknown verb {verb:?}"))),
         }))
     }
 
-    /// Writes one order as a line of the reply.
-    pub fn write(&self, out: &mut String, who: &str, order: &Order) {
-        let task = |ep: &Ep| self.0.server(ep.index).unwrap_or("-");
-        let written = match order {
-            Order::Grant { slice, ep } => writeln!(out, "set_line {who} 1 {slice} {}", task(ep)),
-            Order::Revoke { slice, ep } => writeln!(out, "set_line {who} 0 {slice} {}", task(ep)),
+    /// Appends one order to the reply as a line.
+    pub fn write_order(&self, out: &mut String, instance: &str, order: &Order) {
+        let name_of = |ep: &Ep| self.0.server(ep.index).unwrap_or("-");
+        let result = match order {
+            Order::Grant { slice, ep } => writeln!(out, "set_line {instance} 1 {slice} {}", name_of(ep)),
+            Order::Revoke { slice, ep } => writeln!(out, "set_line {instance} 0 {slice} {}", name_of(ep)),
             Order::Level { slice, share, methods, tries } => {
-                writeln!(out, "set_level {who} {share:.3} {methods} {tries} {slice}")
+                writeln!(out, "set_level {instance} {share:.3} {methods} {tries} {slice}")
             }
-            Order::Mark { mark } => writeln!(out, "ask_receipt {who} {mark} 1"),
-            Order::Watch => writeln!(out, "track {who} 1"),
-            Order::Fetch => writeln!(out, "reload {who}"),
-            Order::Probe { ep } => writeln!(out, "touch {who} {}", task(ep)),
-            Order::Wake { after } => writeln!(out, "defer {who} {:.3} wake", after.as_secs_f64() * 1e3),
-            Order::Log { text } => writeln!(out, "print {who} {text}"),
+            Order::Mark { mark } => writeln!(out, "ask_receipt {instance} {mark} 1"),
+            Order::Watch => writeln!(out, "track {instance} 1"),
+            Order::Fetch => writeln!(out, "reload {instance}"),
+            Order::Probe { ep } => writeln!(out, "touch {instance} {}", name_of(ep)),
+            Order::Wake { after } => writeln!(out, "defer {instance} {:.3} wake", after.as_secs_f64() * 1e3),
+            Order::Log { text } => writeln!(out, "print {instance} {text}"),
         };
-        written.expect("writing to a string cannot fail");
+        result.expect("writing to a string cannot fail");
     }
 }
 
-pub fn list_kind(word: &str) -> Result<ListKind, Malformed> {
+/// Parses the scope of a server list.
+pub fn parse_list_kind(word: &str) -> Result<ListKind, ParseError> {
     match word {
         "Partial" => Ok(ListKind::Changes),
         "Complete" => Ok(ListKind::Full),
         "Persisted" => Ok(ListKind::Stored),
         "Error" => Ok(ListKind::Failed),
-        _ => Err(Malformed(format!("unknown scope {word:?}"))),
+        _ => Err(ParseError(format!("unknown scope {word:?}"))),
     }
 }
