--- a/crates/whinhill-names/src/lib.rs
+++ b/crates/whinhill-names/src/lib.rs
@@ -1,5 +1,6 @@
-//! Names at the door: servers, zones, methods and the figures of a load report, mapped to the small indices
-//! by which the module knows them. Both the bench's adapter and the platform's front stand behind it.
+//! Maps the names of servers, zones, methods and load report figures to the small indices that `whinhill` uses.
+//!
+//! The simulator host and the platform adapter share it.
 //!
 //! ```
 //! use whinhill::interface::Settings;
@@ -16,15 +17,18 @@
 
 use whinhill::interface::{Ep, LoadReport, MethodId, Settings, SliceId, ZoneId};
 
-/// Zones that are told apart: lists may name what they like, and past the bound all strange ones are one.
-const ZONES_MOST: usize = 256;
+/// Limit on the number of distinct zones: server lists may carry any zone name, and past the limit every unknown
+/// name maps to the last zone.
+const MAX_ZONES: usize = 256;
 
+/// The mapping between names and indices; names of servers and zones are added when they first occur.
 #[derive(Debug, Default)]
 pub struct Names {
+    /// Server names by index; an empty name marks a free index.
     servers: Vec<String>,
-    eps: HashMap<String, usize>,
-    /// Indices that were let go.
-    free: Vec<usize>,
+    index_by_name: HashMap<String, usize>,
+    /// Indices of removed servers, to be reused.
+    free_indices: Vec<usize>,
     zones: Vec<String>,
     methods: Vec<String>,
     slices: usize,
@@ -32,18 +36,19 @@
 }
 
 impl Names {
+    /// Reads the zones, the methods, the number of slices and the report fields from the settings.
     pub fn new(settings: &Settings) -> Self {
         let text = |path: &str| settings.0.get(path).map(String::as_str).unwrap_or("");
         let list = |path: &str| {
-            text(path).split(',').filter(|w| !w.is_empty()).map(str::to_string).collect::<Vec<_>>()
+            text(path).split(',').filter(|item| !item.is_empty()).map(str::to_string).collect::<Vec<_>>()
         };
         let methods = (0..settings.get("classes.count").unwrap_or(0))
             .map(|k: usize| text(&format!("classes.{k}.name")).to_string())
             .collect();
         Names {
             servers: Vec::new(),
-            eps: HashMap::new(),
-            free: Vec::new(),
+            index_by_name: HashMap::new(),
+            free_indices: Vec::new(),
             zones: list("zones"),
             methods,
             slices: settings.get("familyInfo.shards").unwrap_or(0),
@@ -51,85 +56,91 @@
         }
     }
 
-    /// The endpoint of a server, met now if not before.
+    /// The endpoint of a server; assigns an index to a name that has none.
     pub fn ep(&mut self, name: &str) -> Ep {
-        let index = match self.eps.get(name) {
+        let index = match self.index_by_name.get(name) {
             Some(&index) => index,
             None => {
-                let index = self.free.pop().unwrap_or(self.servers.len());
+                let index = self.free_indices.pop().unwrap_or(self.servers.len());
                 self.servers.resize(self.servers.len().max(index + 1), String::new());
                 self.servers[index] = name.to_string();
-                self.eps.insert(name.to_string(), index);
+                self.index_by_name.insert(name.to_string(), index);
                 index
             }
         };
         Ep { index, stable: fnv1a(name) }
     }
 
-    /// The endpoint of a server that was met before.
+    /// The endpoint of a server that has an index.
     pub fn known(&self, name: &str) -> Option<Ep> {
-        self.eps.get(name).map(|&index| Ep { index, stable: fnv1a(name) })
+        self.index_by_name.get(name).map(|&index| Ep { index, stable: fnv1a(name) })
     }
 
+    /// The name of the server with this index.
     pub fn server(&self, index: usize) -> Option<&str> {
         self.servers.get(index).map(String::as_str).filter(|name| !name.is_empty())
     }
 
-    /// Lets a server's name and index go; the index is given to the next one met.
+    /// Removes a server's name and frees its index for the next new server.
     pub fn let_go(&mut self, index: usize) {
         let name = self.servers.get_mut(index).map(std::mem::take).unwrap_or_default();
-        if self.eps.remove(&name).is_some() {
-            self.free.push(index);
+        if self.index_by_name.remove(&name).is_some() {
+            self.free_indices.push(index);
         }
     }
 
-    /// The servers that have a name now.
+    /// The indices of the servers that have a name.
     pub fn servers(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.servers.len()).filter(|index| !self.servers[*index].is_empty())
     }
 
-    /// A zone, met now if not before.
+    /// The index of a zone; adds a name that is not known, up to `MAX_ZONES`.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         self.known_zone(name).unwrap_or_else(|| {
-            if self.zones.len() < ZONES_MOST {
+            if self.zones.len() < MAX_ZONES {
                 self.zones.push(name.to_string());
             }
             self.zones.len() - 1
         })
     }
 
+    /// The index of a zone that is known.
     pub fn known_zone(&self, name: &str) -> Option<ZoneId> {
-        self.zones.iter().position(|z| z == name)
+        self.zones.iter().position(|zone| zone == name)
     }
 
+    /// The index of a method of the settings.
     pub fn method(&self, name: &str) -> Option<MethodId> {
-        self.methods.iter().position(|m| m == name)
+        self.methods.iter().position(|method| method == name)
     }
 
+    /// The name of the method with this index.
     pub fn method_name(&self, method: MethodId) -> Option<&str> {
         self.methods.get(method).map(String::as_str)
     }
 
+    /// The number of methods.
     pub fn methods(&self) -> usize {
         self.methods.len()
     }
 
-    /// The slice of this number, if there is one.
+    /// The slice with this number, if it is within the number of slices.
     pub fn slice(&self, number: usize) -> Option<SliceId> {
-        Some(number).filter(|s| *s < self.slices)
+        Some(number).filter(|slice| *slice < self.slices)
     }
 
+    /// The number of slices.
     pub fn slices(&self) -> usize {
         self.slices
     }
 
-    /// The names of a load report's figures, in the order of the settings.
+    /// The names of a load report's figures, in the order of the setting `report.fields`.
     pub fn report(&self) -> impl Iterator<Item = &str> {
         self.report.iter().map(String::as_str)
     }
 }
 
-/// Sets one figure of a load report by its name; names that we have no use for are skipped.
+/// Sets one figure of a load report by its name; unknown names are ignored.
 pub fn set_figure(load: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu_share" | "util" => load.cpu = Some(value),
@@ -140,9 +151,10 @@
     }
 }
 
-/// FNV-1a, 64 bits: a hash of a name that is the same in every process.
+/// 64-bit FNV-1a hash of a name, the same in every process.
 fn fnv1a(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 #[cfg(test)]
@@ -150,7 +162,7 @@
     use super::*;
 
     #[test]
-    fn an_index_let_go_is_given_once_to_the_next() {
+    fn index_freed_twice_is_reused_only_once() {
         let mut names = Names::default();
         let (a, b) = (names.ep("a"), names.ep("b"));
         names.let_go(a.index);
--- a/crates/whinhill-starts/src/lib.rs
+++ b/crates/whinhill-starts/src/lib.rs
@@ -1,16 +1,17 @@
-//! When servers started, in monotonic time, from stamps of a wall clock that may be stepped, ours or theirs, by
-//! seconds or hours.
+//! Converts the start times of servers from wall-clock timestamps to monotonic time.
 //!
-//! A stamp is read once, when a list first brings it, and the start is kept from then on: later steps change nothing.
-//! What is known without the wall clock bounds it. A server that the list did not name a moment ago cannot have been
-//! up for hours, and none starts in the future. Where several readings are possible the youngest counts: a server
-//! that is taken for warm too soon is overfilled, one taken for cold a little longer only fills later.
+//! The wall clock of this machine, or that of the servers, may be stepped by seconds or hours. A timestamp is
+//! therefore converted once, when a server list first contains it, and the result is kept: later clock steps do not
+//! change it. Two facts that do not depend on the wall clock bound the result: a server that the previous list did not
+//! contain cannot have been running for hours, and no server starts in the future. If several clock offsets give a
+//! possible start, the latest start counts: a server that is taken for warm too early is overloaded, while one that is
+//! taken for cold somewhat longer only receives its load later.
 //!
 //! ```
 //! use std::time::Duration;
 //! use whinhill_starts::{Reading, Starts};
 //! let mut starts = Starts::default();
-//! // Monotonic and wall time, by any origins of their own.
+//! // Monotonic and wall time have independent origins.
 //! let reading = Reading { now: Duration::from_secs(50), wall: Duration::from_secs(1_000_050) };
 //! starts.list_is_current(reading.now);
 //! assert_eq!(starts.started(reading, "s-1", 1_000_048_000), Some(Duration::from_secs(48)));
@@ -19,102 +20,106 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long after its start a server may first be named: lists come seconds late, more where discovery was down.
-/// Shorter: servers listed late count as younger than they are, and fill later. Longer: steps of the clock by less
-/// go unseen.
-const LISTED_WITHIN: Duration = Duration::from_secs(15);
-/// Standings of the wall clock that are remembered: stamps from before a step may come long after it.
-const STANDINGS_MOST: usize = 8;
-/// Two readings of the clocks that differ by less belong to one standing.
-const STANDING_LEAST_MS: u64 = 250;
-/// Servers whose starts are remembered, the last to be first named: far more than a list holds beside those that a
-/// false list may bring back.
-const KNOWN_MOST: usize = 4096;
+/// Longest time after its start until a server first appears in a list. Lists arrive seconds late, and later still if
+/// discovery was down. With a smaller value, servers that are listed late count as younger than they are and receive
+/// their load later; with a larger one, clock steps smaller than the value go undetected.
+const MAX_LISTING_DELAY: Duration = Duration::from_secs(15);
+/// Number of clock offsets that are kept, the current one included: timestamps from before a clock step may arrive long after it.
+const MAX_CLOCK_OFFSETS: usize = 8;
+/// Changes of the clock offset below this are not counted as a clock step.
+const MIN_CLOCK_STEP_MS: u64 = 250;
+/// Number of servers whose start is kept; the server that was recorded first is dropped first. Far more than a list
+/// contains plus the servers that an erroneous list may bring back.
+const MAX_RECORDED_STARTS: usize = 4096;
 
-/// Both clocks at one moment.
+/// The monotonic and the wall clock, read at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Reading {
-    /// Monotonic time, by any origin.
+    /// Monotonic time, with an arbitrary origin.
     pub now: Duration,
-    /// Unix time.
+    /// Wall time since the Unix epoch.
     pub wall: Duration,
 }
 
+/// A timestamp and the monotonic start time that it was converted to.
 #[derive(Debug)]
-struct Known {
+struct RecordedStart {
     stamp_ms: u64,
     started: Duration,
 }
 
-/// What lists have told of servers' starts.
+/// The start times of the servers that lists have contained.
 #[derive(Debug, Default)]
 pub struct Starts {
-    known: HashMap<String, Known>,
-    /// The names in `known`, in the order in which they came.
+    recorded: HashMap<String, RecordedStart>,
+    /// The names in `recorded`, in the order in which they were added.
     order: VecDeque<String>,
-    /// How far the wall clock stood ahead of the monotonic one, in milliseconds; the last is now.
-    standings: VecDeque<i64>,
-    /// When the list that we hold was last known to be current.
-    current: Option<Duration>,
+    /// Wall time minus monotonic time, in milliseconds; the last element is the current offset.
+    clock_offsets_ms: VecDeque<i64>,
+    /// When the server list was last known to be current.
+    list_current_at: Option<Duration>,
 }
 
 impl Starts {
-    /// Discovery has told the list, or that nothing in it has changed.
+    /// Records that discovery has sent the list, or has confirmed that nothing in it changed.
     pub fn list_is_current(&mut self, now: Duration) {
-        self.current = Some(now);
+        self.list_current_at = Some(now);
     }
 
-    /// When a server started, by monotonic time, from its stamp in Unix milliseconds; `None` for the stamp 0, which
-    /// says: long ago.
+    /// The monotonic start time of a server whose timestamp is `stamp_ms` in Unix milliseconds; `None` for the
+    /// timestamp 0, which means long ago.
     pub fn started(&mut self, reading: Reading, name: &str, stamp_ms: u64) -> Option<Duration> {
-        self.note_standing(reading);
+        self.record_clock_offset(reading);
         if stamp_ms == 0 {
             return None;
         }
-        if let Some(known) = self.known.get(name).filter(|known| known.stamp_ms == stamp_ms) {
-            return Some(known.started);
+        if let Some(recorded) = self.recorded.get(name).filter(|recorded| recorded.stamp_ms == stamp_ms) {
+            return Some(recorded.started);
         }
-        let started = reading.now.saturating_sub(self.age(reading.now, stamp_ms));
-        self.remember(name, Known { stamp_ms, started });
+        let started = reading.now.saturating_sub(self.youngest_age(reading.now, stamp_ms));
+        self.record_start(name, RecordedStart { stamp_ms, started });
         Some(started)
     }
 
-    /// The youngest age that is possible by any standing of the clock; none: it has just started.
-    fn age(&self, now: Duration, stamp_ms: u64) -> Duration {
-        let most = self.current.map(|at| now.saturating_sub(at) + LISTED_WITHIN);
-        let possible = |age: &Duration| most.is_none_or(|most| *age <= most);
-        let ages = self.standings.iter().filter_map(|ahead| age_by(*ahead, now, stamp_ms));
+    /// The smallest possible age that any recorded clock offset gives; zero if none gives a possible one.
+    fn youngest_age(&self, now: Duration, stamp_ms: u64) -> Duration {
+        let max_age = self.list_current_at.map(|at| now.saturating_sub(at) + MAX_LISTING_DELAY);
+        let possible = |age: &Duration| max_age.is_none_or(|max_age| *age <= max_age);
+        let ages =
+            self.clock_offsets_ms.iter().filter_map(|offset_ms| age_at_offset(*offset_ms, now, stamp_ms));
         ages.filter(possible).min().unwrap_or_default()
     }
 
-    fn note_standing(&mut self, reading: Reading) {
-        let ahead = millis(reading.wall).saturating_sub(millis(reading.now));
-        let same = |last: &i64| last.abs_diff(ahead) < STANDING_LEAST_MS;
-        if self.standings.back().is_some_and(same) {
+    /// Adds the current clock offset if the wall clock was stepped since the last one.
+    fn record_clock_offset(&mut self, reading: Reading) {
+        let offset_ms = millis(reading.wall).saturating_sub(millis(reading.now));
+        let same = |last: &i64| last.abs_diff(offset_ms) < MIN_CLOCK_STEP_MS;
+        if self.clock_offsets_ms.back().is_some_and(same) {
             return;
         }
-        if self.standings.len() == STANDINGS_MOST {
-            self.standings.pop_front();
+        if self.clock_offsets_ms.len() == MAX_CLOCK_OFFSETS {
+            self.clock_offsets_ms.pop_front();
         }
-        self.standings.push_back(ahead);
+        self.clock_offsets_ms.push_back(offset_ms);
     }
 
-    fn remember(&mut self, name: &str, known: Known) {
-        if self.known.insert(name.to_string(), known).is_some() {
+    /// Stores a start and drops the oldest one past `MAX_RECORDED_STARTS`.
+    fn record_start(&mut self, name: &str, recorded: RecordedStart) {
+        if self.recorded.insert(name.to_string(), recorded).is_some() {
             return;
         }
         self.order.push_back(name.to_string());
-        if self.order.len() > KNOWN_MOST {
+        if self.order.len() > MAX_RECORDED_STARTS {
             if let Some(oldest) = self.order.pop_front() {
-                self.known.remove(&oldest);
+                self.recorded.remove(&oldest);
             }
         }
     }
 }
 
-/// The age of a stamp where the wall clock stands `ahead_ms` ahead; `None`: it lies in the future.
-fn age_by(ahead_ms: i64, now: Duration, stamp_ms: u64) -> Option<Duration> {
-    let wall = millis(now).checked_add(ahead_ms)?;
+/// The age of a timestamp if wall time is monotonic time plus `offset_ms`; `None` if it lies in the future.
+fn age_at_offset(offset_ms: i64, now: Duration, stamp_ms: u64) -> Option<Duration> {
+    let wall = millis(now).checked_add(offset_ms)?;
     let age = wall.checked_sub(i64::try_from(stamp_ms).ok()?)?;
     u64::try_from(age).ok().map(Duration::from_millis)
 }
