--- a/crates/whinhill-errors/src/lib.rs
+++ b/crates/whinhill-errors/src/lib.rs
@@ -1,37 +1,39 @@
-//! What the error of a system call says: that the other side or the file is at fault, or only that this machine is
-//! short of something at the moment.
+//! Classifies the errors of system calls: a failure of the peer or the file, or a temporary shortage of resources on
+//! this machine.
 //!
-//! One list for all packages. An error that is taken for more than it says ends a connection, and with it whatever
-//! was owed on it; one that is taken for less is tried again for good.
+//! All packages share this classification. A temporary error that is taken for a permanent one closes a connection
+//! and loses the answers pending on it; a permanent error that is taken for a temporary one is retried forever.
 
-mod again;
+mod retry;
 
 use std::io::{self, ErrorKind};
 
 use rustix::io::Errno;
 
-pub use again::until_had;
+pub use retry::until_had;
 
-fn is_one_of(error: &io::Error, numbers: &[Errno]) -> bool {
-    Errno::from_io_error(error).is_some_and(|errno| numbers.contains(&errno))
+/// Whether the error carries one of these errno values.
+fn has_errno(error: &io::Error, errnos: &[Errno]) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| errnos.contains(&errno))
 }
 
-/// Whether a read or write on a socket failed for want of memory or buffers (recv(2), send(2)). The connection
-/// stands, nothing was moved, and the same call may succeed the next moment.
+/// Whether a read or write on a socket failed for lack of memory or buffers (recv(2), send(2)). The connection is
+/// intact, no bytes were transferred, and the same call may succeed a moment later.
 pub fn is_short_of_memory(error: &io::Error) -> bool {
-    is_one_of(error, &[Errno::NOBUFS, Errno::NOMEM])
+    has_errno(error, &[Errno::NOBUFS, Errno::NOMEM])
 }
 
-/// Whether a call that makes something failed for want of descriptors, memory, buffers or watches (accept(2),
-/// socket(2), epoll_create(2), epoll_ctl(2)).
+/// Whether a call that creates a descriptor or a watch failed because descriptors, memory, buffers or watches are
+/// exhausted (accept(2), socket(2), epoll_create(2), epoll_ctl(2)).
 pub fn is_scarce(error: &io::Error) -> bool {
-    is_short_of_memory(error) || is_one_of(error, &[Errno::MFILE, Errno::NFILE, Errno::NOSPC])
+    is_short_of_memory(error) || has_errno(error, &[Errno::MFILE, Errno::NFILE, Errno::NOSPC])
 }
 
-/// Whether an accept failed by an error of the one connection that it would have taken (accept(2)): the listener is
-/// well, and the next one may be taken at once.
+/// Whether an accept failed because of an error of the one connection that it would have accepted (accept(2)): the
+/// listener works, and the next connection can be accepted at once.
 pub fn is_of_one_connection(error: &io::Error) -> bool {
-    const PENDING_ON_IT: [Errno; 8] = [
+    // Errors pending on the new socket, which accept passes on.
+    const PENDING_ON_SOCKET: [Errno; 8] = [
         Errno::NETDOWN,
         Errno::PROTO,
         Errno::NOPROTOOPT,
@@ -41,28 +43,29 @@
         Errno::OPNOTSUPP,
         Errno::NETUNREACH,
     ];
+    // The connection was aborted, a firewall forbids it, or a signal interrupted the accept.
     const ABANDONED: [Errno; 3] = [Errno::CONNABORTED, Errno::PERM, Errno::INTR];
-    is_one_of(error, &PENDING_ON_IT) || is_one_of(error, &ABANDONED)
+    has_errno(error, &PENDING_ON_SOCKET) || has_errno(error, &ABANDONED)
 }
 
-/// Whether a connect has reached nobody for a reason of this machine's own (socket(2), connect(2)): there is no port,
-/// no route or no link, something is scarce, or a rule here forbids it.
+/// Whether a connect failed on this machine before it reached a peer (socket(2), connect(2)): no free port, no route,
+/// no link, exhausted resources, or a local rule that forbids it.
 pub fn is_local(error: &io::Error) -> bool {
-    const NO_WAY_OUT: [Errno; 5] =
+    const NO_LOCAL_ADDRESS_OR_ROUTE: [Errno; 5] =
         [Errno::ADDRNOTAVAIL, Errno::ADDRINUSE, Errno::NETUNREACH, Errno::NETDOWN, Errno::AFNOSUPPORT];
-    const NOT_MADE: [Errno; 4] = [Errno::AGAIN, Errno::INTR, Errno::PERM, Errno::ACCESS];
-    is_scarce(error) || is_one_of(error, &NO_WAY_OUT) || is_one_of(error, &NOT_MADE)
+    const NOT_ATTEMPTED: [Errno; 4] = [Errno::AGAIN, Errno::INTR, Errno::PERM, Errno::ACCESS];
+    is_scarce(error) || has_errno(error, &NO_LOCAL_ADDRESS_OR_ROUTE) || has_errno(error, &NOT_ATTEMPTED)
 }
 
-/// Whether a call on a file may succeed later and untouched: the disk is full or failing, not the path or the
-/// rights wrong.
+/// Whether a failed call on a file may succeed later without a change of path or permissions: the disk is full or
+/// failing, and neither the path nor the permissions are wrong.
 pub fn may_pass_on_disk(error: &io::Error) -> bool {
     use ErrorKind::{InvalidFilename, InvalidInput, IsADirectory, NotADirectory, NotFound, PermissionDenied};
-    let wrong = matches!(
+    let is_permanent = matches!(
         error.kind(),
         InvalidFilename | InvalidInput | IsADirectory | NotADirectory | NotFound | PermissionDenied
     );
-    !wrong && !is_one_of(error, &[Errno::LOOP])
+    !is_permanent && !has_errno(error, &[Errno::LOOP])
 }
 
 #[cfg(test)]
--- a/crates/whinhill-errors/src/retry.rs
+++ b/crates/whinhill-errors/src/retry.rs
@@ -1,22 +1,26 @@
-//! Calls that fail because this system has no descriptor, port, route or memory at the moment. They say nothing of a
-//! peer, and are made again for a short time.
+//! Retries calls that fail because this machine temporarily lacks a descriptor, port, route or memory. Such a failure
+//! does not indicate a problem with the peer.
 
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Between two attempts: short against every deadline, long enough that a few leave room to others.
-const AGAIN: Duration = Duration::from_millis(10);
+/// Pause between two attempts: short compared with every deadline, and long enough that a few retrying callers do not
+/// starve others.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Makes a call until it succeeds, fails for a reason that does not pass, or the time is up: its last result.
+/// Repeats a call while it fails with an error that `is_temporary` accepts and less than `max_duration` has passed, and
+/// returns its last result.
 pub fn until_had<T>(
-    within: Duration,
-    passes: impl Fn(&io::Error) -> bool,
+    max_duration: Duration,
+    is_temporary: impl Fn(&io::Error) -> bool,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let started = Instant::now();
     loop {
         match call() {
-            Err(error) if passes(&error) && started.elapsed() < within => std::thread::sleep(AGAIN),
+            Err(error) if is_temporary(&error) && started.elapsed() < max_duration => {
+                std::thread::sleep(RETRY_INTERVAL)
+            }
             result => return result,
         }
     }
--- a/crates/whinhill-errors/src/tests.rs
+++ b/crates/whinhill-errors/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_transfer_that_falls_short_is_told_from_a_broken_connection() {
+fn lack_of_buffers_is_distinguished_from_broken_connection() {
     for errno in [Errno::NOBUFS, Errno::NOMEM] {
         assert!(is_short_of_memory(&errno.into()), "{errno:?}");
     }
@@ -10,29 +10,31 @@
     for errno in broken {
         assert!(!is_short_of_memory(&errno.into()), "{errno:?}");
     }
-    assert!(!is_short_of_memory(&io::Error::other("no call of the system")));
+    assert!(!is_short_of_memory(&io::Error::other("not from a system call")));
 }
 
 #[test]
-fn a_connect_that_reached_nobody_is_told_from_one_that_was_refused() {
+fn local_connect_failure_is_distinguished_from_failure_of_the_peer() {
     for errno in [Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NFILE, Errno::NOBUFS] {
         assert!(is_local(&errno.into()), "{errno:?}");
     }
     for errno in [Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
         assert!(!is_local(&errno.into()), "{errno:?}");
     }
-    // By connect(2): interrupted, no port left, forbidden by a firewall here, our link down, a family that we lack.
-    let own = [Errno::INTR, Errno::ADDRINUSE, Errno::PERM, Errno::ACCESS, Errno::NETDOWN, Errno::AFNOSUPPORT];
-    for errno in own {
+    // From connect(2): interrupted, no free port, forbidden by a local firewall, local link down, address family not
+    // supported.
+    let local =
+        [Errno::INTR, Errno::ADDRINUSE, Errno::PERM, Errno::ACCESS, Errno::NETDOWN, Errno::AFNOSUPPORT];
+    for errno in local {
         assert!(is_local(&errno.into()), "{errno:?}");
     }
-    // To listen on an address that is not ours is a fault of the configuration.
+    // Listening on an address that this machine does not have is a configuration error.
     assert!(!is_scarce(&Errno::ADDRNOTAVAIL.into()));
 }
 
 #[test]
-fn want_of_descriptors_memory_or_watches_is_scarcity() {
-    // By accept(2), epoll_create(2) and epoll_ctl(2).
+fn exhausted_descriptors_memory_or_watches_are_resource_shortage() {
+    // From accept(2), epoll_create(2) and epoll_ctl(2).
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::NOSPC] {
         assert!(is_scarce(&errno.into()), "{errno:?}");
     }
@@ -42,9 +44,9 @@
 }
 
 #[test]
-fn an_accept_tells_errors_of_the_new_connection_from_those_of_the_listener() {
-    // By accept(2): what is already pending on the new socket is passed on.
-    let of_one = [
+fn accept_error_of_new_connection_is_distinguished_from_error_of_listener() {
+    // From accept(2): errors that are already pending on the new socket are passed on.
+    let of_connection = [
         Errno::NETDOWN,
         Errno::PROTO,
         Errno::NOPROTOOPT,
@@ -57,22 +59,23 @@
         Errno::PERM,
         Errno::INTR,
     ];
-    for errno in of_one {
+    for errno in of_connection {
         assert!(is_of_one_connection(&errno.into()), "{errno:?}");
     }
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::BADF, Errno::INVAL] {
         assert!(!is_of_one_connection(&errno.into()), "{errno:?}");
     }
-    assert!(!is_of_one_connection(&io::Error::other("no call of the system")));
+    assert!(!is_of_one_connection(&io::Error::other("not from a system call")));
 }
 
 #[test]
-fn a_full_disk_passes_and_a_wrong_path_does_not() {
+fn full_disk_is_temporary_and_wrong_path_is_permanent() {
     for errno in [Errno::NOSPC, Errno::DQUOT, Errno::IO, Errno::INTR, Errno::NFILE, Errno::STALE] {
         assert!(may_pass_on_disk(&errno.into()), "{errno:?}");
     }
-    let wrong = [Errno::NOENT, Errno::ACCESS, Errno::ISDIR, Errno::NOTDIR, Errno::NAMETOOLONG, Errno::LOOP];
-    for errno in wrong {
+    let permanent =
+        [Errno::NOENT, Errno::ACCESS, Errno::ISDIR, Errno::NOTDIR, Errno::NAMETOOLONG, Errno::LOOP];
+    for errno in permanent {
         assert!(!may_pass_on_disk(&errno.into()), "{errno:?}");
     }
 }
