--- a/crates/whinhill/src/assigner.rs
+++ b/crates/whinhill/src/assigner.rs
@@ -12,8 +12,8 @@
 use crate::interface::*;
 use crate::settings::{Admission, Config, Method};
 use crate::state::{
-    middle, Answer, Awaited, Channel, Following, Handover, Heard, Move, Plan, Proxy, ReportBatch, Server,
-    Slice, Sum, Symptoms, View,
+    median, AckState, Channel, DecayingSum, Handover, ListSubscription, LoadSnapshot, Move, Plan, Proxy,
+    ProxyAck, ReportBatch, Server, Slice, Symptoms, WaitEnd,
 };
 
 mod admission;
@@ -21,20 +21,20 @@
 mod evacuation;
 mod handover;
 mod health;
+mod introspection;
 mod list;
 mod load;
 mod plan;
 mod reports;
-mod resent;
-mod shown;
+mod resend;
 mod suspicion;
 #[cfg(test)]
 mod tests;
 mod tuning;
 
-use health::{takes_slices, usable};
+use health::{accepts_slices, usable};
 use tuning::*;
-pub(crate) use tuning::{REPORTS_LAG, TRUST_HALVES};
+pub(crate) use tuning::{PROBE_MEMORY_HALF_LIFE, REPORT_LAG_INTERVALS};
 
 /// Every decision of one assigner, and what it remembers.
 pub struct Assigner {
@@ -44,25 +44,25 @@
     servers: Vec<Server>,
     proxies: BTreeMap<ProxyId, Proxy>,
     slices: Vec<Slice>,
-    orders: Vec<Vec<usize>>,
+    rendezvous_order: Vec<Vec<usize>>,
     /// RPCs that came for our slices, by method.
-    came: Vec<Sum>,
+    method_rpcs: Vec<DecayingSum>,
     /// The usual stretch of a report, in which measures halve.
-    half: Duration,
+    half_life: Duration,
     /// The last batches of reports, oldest first, and how late they come in seconds, once that is known.
-    reports: VecDeque<ReportBatch>,
-    report_lag: Option<f64>,
+    report_batches: VecDeque<ReportBatch>,
+    report_lag_s: Option<f64>,
     /// Time of service in seconds from which a server counts as slow against its peers.
-    slow: f64,
-    next_period: Duration,
-    next_probes: Duration,
-    list: Following,
+    slow_service_time: f64,
+    next_period_at: Duration,
+    next_probes_at: Duration,
+    subscription: ListSubscription,
     plan: Plan,
     channel: Channel,
     /// Handovers that ended with a grant, and the longest that one took.
-    granted: u64,
+    grant_count: u64,
     longest_handover: Duration,
-    out: Vec<Order>,
+    output: Vec<Order>,
 }
 
 impl Assigner {
@@ -70,25 +70,25 @@
         let cfg = Config::read(settings)?;
         Ok(Assigner {
             slices: vec![Slice::default(); settings.get("familyInfo.shards")?],
-            orders: vec![Vec::new(); settings.get("familyInfo.shards")?],
-            came: vec![Sum::default(); cfg.methods.len()],
-            half: cfg.period,
+            rendezvous_order: vec![Vec::new(); settings.get("familyInfo.shards")?],
+            method_rpcs: vec![DecayingSum::default(); cfg.methods.len()],
+            half_life: cfg.period,
             cfg,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Duration::ZERO,
             servers: Vec::new(),
             proxies: BTreeMap::new(),
-            reports: VecDeque::new(),
-            report_lag: None,
-            slow: f64::MAX,
-            next_period: Duration::ZERO,
-            next_probes: Duration::ZERO,
-            list: Following::default(),
+            report_batches: VecDeque::new(),
+            report_lag_s: None,
+            slow_service_time: f64::MAX,
+            next_period_at: Duration::ZERO,
+            next_probes_at: Duration::ZERO,
+            subscription: ListSubscription::default(),
             plan: Plan::default(),
             channel: Channel::default(),
-            granted: 0,
+            grant_count: 0,
             longest_handover: Duration::ZERO,
-            out: Vec::new(),
+            output: Vec::new(),
         })
     }
 
@@ -97,101 +97,104 @@
         self.now = now;
         // Where more is told than the feed carries, reports come late, each for a longer stretch.
         let spans: Vec<Duration> = events.iter().filter_map(Event::span).collect();
-        let told = !spans.is_empty() && now + self.cfg.period.mul_f64(PERIOD.0) >= self.next_period;
-        let usual = (spans.len() > self.ready().count()).then(|| middle(spans)).flatten();
-        self.half = usual.map_or(self.half, |usual| usual.max(self.cfg.period));
-        events.iter().for_each(|event| self.take(event));
-        if self.orders.first().is_some_and(|order| order.len() < self.servers.len()) {
-            self.rank();
+        let told =
+            !spans.is_empty() && now + self.cfg.period.mul_f64(EARLY_PERIOD_FRACTION) >= self.next_period_at;
+        let usual = (spans.len() > self.ready_servers().count()).then(|| median(spans)).flatten();
+        self.half_life = usual.map_or(self.half_life, |usual| usual.max(self.cfg.period));
+        events.iter().for_each(|event| self.apply_event(event));
+        if self.rendezvous_order.first().is_some_and(|order| order.len() < self.servers.len()) {
+            self.rank_servers();
         }
         // Asks for changes of the list after a failure, and when nothing has come for long.
-        if self.list.ask_at.is_some_and(|at| now >= at) {
-            self.out.extend(self.cfg.watch.then_some(Order::Watch));
-            self.list.ask_at = Some(now + self.cfg.must_ask / 2);
+        if self.subscription.request_at.is_some_and(|at| now >= at) {
+            self.output.extend(self.cfg.watch_list.then_some(Order::Watch));
+            self.subscription.request_at = Some(now + self.cfg.max_list_request_interval / 2);
         }
-        self.weigh_probes();
-        let period = told || now >= self.next_period;
+        self.update_suspicions();
+        let period = told || now >= self.next_period_at;
         if period {
-            self.next_period = now + self.cfg.period.mul_f64(PERIOD.1);
-            self.judge();
+            self.next_period_at = now + self.cfg.period.mul_f64(PERIOD_TIMEOUT_FACTOR);
+            self.evaluate_servers();
             self.make_plan();
         }
         if self.order_probes(period) && !period {
-            self.judge_health();
+            self.evaluate_health();
         }
-        if now >= self.channel.wake && self.has_room(0.5) {
-            self.tell_joined();
+        if now >= self.channel.wake_at && self.channel_is_below(NOTIFY_FILL) {
+            self.notify_joined_proxies();
         }
-        self.ask_again();
+        self.request_overdue_acks();
         self.evacuate();
-        self.advance();
-        self.run_batches();
-        let draws = period || self.out.iter().any(|order| matches!(order, Order::Grant { .. }));
+        self.grant_settled_slices();
+        self.run_next_batch();
+        let draws = period || self.output.iter().any(|order| matches!(order, Order::Grant { .. }));
         if draws && self.cfg.admission == Admission::Share {
-            self.draw_lines();
+            self.set_criticality_cutoffs();
         }
         self.order_levels(period);
-        self.close()
+        self.finish_reply()
     }
 
-    fn take(&mut self, event: &Event) {
-        let (now, half) = (self.now, self.half);
-        event.span().into_iter().for_each(|span| self.note_report(span));
+    fn apply_event(&mut self, event: &Event) {
+        let (now, half) = (self.now, self.half_life);
+        event.span().into_iter().for_each(|span| self.record_report(span));
         match event {
-            Event::List { kind, entries } => self.take_list(*kind, entries),
+            Event::List { kind, entries } => self.apply_list(*kind, entries),
             Event::Met { ep, tries, lost, wait, load, span, .. } => {
-                self.server(*ep).meet(now, half, (*tries, *lost), *wait, *span);
-                let batch = self.reports.back().map_or(now, |batch| batch.at);
-                self.server(*ep).note_answers(batch, *tries, *lost, BATCHES);
-                self.take_load(*ep, load);
+                self.server_mut(*ep).record_tries(now, half, (*tries, *lost), *wait, *span);
+                let batch = self.report_batches.back().map_or(now, |batch| batch.began_at);
+                self.server_mut(*ep).record_batch_answers(batch, *tries, *lost, REMEMBERED_BATCHES);
+                self.apply_load_report(*ep, load);
             }
             Event::Demand { slice, method, rpcs, span, .. } => {
-                let work = self.work(*method) * *rpcs as f64;
-                self.came[*method].add(now, half, *rpcs as f64, *span);
+                let work = self.work_per_rpc(*method) * *rpcs as f64;
+                self.method_rpcs[*method].add(now, half, *rpcs as f64, *span);
                 self.slices[*slice].demand.add(now, half, work, *span);
             }
             Event::Probed { ep, result, load } => {
-                self.take_probe(*ep, *result);
-                self.take_load(*ep, load);
+                self.apply_probe_result(*ep, *result);
+                self.apply_load_report(*ep, load);
             }
-            Event::Joined { proxy, zone } => self.join(*proxy, *zone),
-            Event::Left { proxy } => self.leave(*proxy),
-            Event::Acked { proxy, mark, way } => self.acked(*proxy, *mark, *way),
+            Event::Joined { proxy, zone } => self.proxy_joined(*proxy, *zone),
+            Event::Left { proxy } => self.proxy_left(*proxy),
+            Event::Acked { proxy, mark, way } => self.proxy_acked(*proxy, *mark, *way),
             Event::Given { slice } => {
-                let joined = self.proxies.iter().filter(|(_, p)| p.joined && self.cfg.guarded);
-                let untold = Awaited { answer: Answer::Untold, lease_ends: None };
+                let joined = self.proxies.iter().filter(|(_, p)| p.joined && self.cfg.fence_writes);
+                let untold = ProxyAck { state: AckState::NotNotified, lease_ends_at: None };
                 let awaits = joined.map(|(id, _)| (*id, untold)).collect();
                 // Its line may still be told.
-                let line = self.now + self.cfg.way_most;
-                let quiet = if self.cfg.guarded { self.unheard_until(self.now) } else { line };
+                let line = self.now + self.cfg.max_transit;
+                let quiet =
+                    if self.cfg.fence_writes { self.unknown_proxies_write_until(self.now) } else { line };
                 self.slices[*slice] = Slice {
-                    ours: true,
-                    given: self.now,
+                    in_custody: true,
+                    acquired_at: self.now,
                     handover: Some(Handover {
-                        awaits,
-                        quiet,
-                        cut: true,
-                        began: self.now,
-                        cut_at: Some(self.now),
+                        acks: awaits,
+                        acked_writes_end_at: quiet,
+                        revoked: true,
+                        started_at: self.now,
+                        revoked_at: Some(self.now),
                         ..Handover::default()
                     }),
-                    stays: self.now + self.cfg.lease + self.cfg.settle,
-                    told: vec![1.0; self.cfg.methods.len()],
+                    movable_from: self.now + self.cfg.write_lease + self.cfg.settle_time,
+                    published_levels: vec![1.0; self.cfg.methods.len()],
                     ..Slice::default()
                 };
             }
             Event::Taken { slice } => self.slices[*slice] = Slice::default(),
             Event::Stored { slice, ep } => {
                 // What we heard of an owner before its slice was ours says little: it is judged afresh.
-                let first = self.now + self.cfg.way_most + self.half;
-                let server = self.server(*ep);
-                (server.proven, server.sick, server.last_ok) = (true, None, server.last_ok.max(first));
-                let owner = Some(server.ep.index);
+                let first = self.now + self.cfg.max_transit + self.half_life;
+                let server = self.server_mut(*ep);
+                (server.seen_serving, server.unhealthy_until, server.last_ok_at) =
+                    (true, None, server.last_ok_at.max(first));
+                let owner = Some(server.endpoint.index);
                 (self.slices[*slice].owner, self.slices[*slice].handover) = (owner, None);
             }
             Event::Wished { slice, to } => {
-                let to = self.server(*to).ep.index;
-                self.plan.wishes.insert(*slice, to);
+                let to = self.server_mut(*to).endpoint.index;
+                self.plan.requested_moves.insert(*slice, to);
             }
             Event::Timer => {}
         }
--- a/crates/whinhill/src/assigner/admission/tests.rs
+++ b/crates/whinhill/src/assigner/admission/tests.rs
@@ -50,12 +50,12 @@
     }
     period(&mut assigner, 3, 40, 0.1, load(44.0, 40.0));
     for number in 4..8 {
-        let mark = assigner.channel.marks as u16;
+        let mark = assigner.channel.last_ack_seq as u16;
         let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark, way: s(0.1) });
         assigner.handle(s(100.5) + s(PERIOD) * number, &acks);
         period(&mut assigner, number, 30, 0.1, load(2.0, 0.0));
     }
-    let told = &assigner.slices[0].told;
+    let told = &assigner.slices[0].published_levels;
     assert!(told.iter().all(|share| *share >= 0.95), "{told:?}");
 }
 
@@ -65,9 +65,9 @@
     let mut assigner = fleet(2, &[(0, 20.0), (1, 40.0)]);
     assigner.servers[0].cpu = Some((0.5, assigner.now));
     assigner.servers[1].cpu = Some((0.1, assigner.now));
-    assigner.servers[1].started = Some(assigner.now);
-    let offered = assigner.view().own[1];
-    assigner.draw_lines();
-    let let_in = offered * (1.0 - assigner.servers[1].shut_out);
-    assert!(offered > COLD.1 && let_in <= COLD.1, "{let_in:.2} of {offered:.2}");
+    assigner.servers[1].started_at = Some(assigner.now);
+    let offered = assigner.load_snapshot().own_loads[1];
+    assigner.set_criticality_cutoffs();
+    let let_in = offered * (1.0 - assigner.servers[1].rejected_fraction);
+    assert!(offered > MAX_COLD_LOAD && let_in <= MAX_COLD_LOAD, "{let_in:.2} of {offered:.2}");
 }
--- a/crates/whinhill/src/assigner/evacuation.rs
+++ b/crates/whinhill/src/assigner/evacuation.rs
@@ -8,42 +8,50 @@
     pub(super) fn evacuate(&mut self) {
         // After a drain is told, reads may stay as long as their end still arrives within the grace, behind
         // what waits in the channel. Where that would fill the channel, or time is short, they end at once.
-        let (guarded, out) = (self.cfg.guarded, |o: usize| self.servers[o].listed != Listed::Ready);
+        let (guarded, out) =
+            (self.cfg.fence_writes, |o: usize| self.servers[o].listed_status != Listed::Ready);
         let drains = self.slices.iter().filter(|s| s.owner.is_some_and(out));
-        let uncut = drains.filter(|s| s.handover.as_ref().is_none_or(|h| !h.cut)).count();
-        let lines = self.channel.lines + self.lines(if guarded { 2 * uncut } else { uncut });
+        let uncut = drains.filter(|s| s.handover.as_ref().is_none_or(|h| !h.revoked)).count();
+        let lines = self.channel.queued_lines + self.message_lines(if guarded { 2 * uncut } else { uncut });
         let behind = Duration::from_secs_f64(lines / self.cfg.lines_per_s);
-        let lead = self.cfg.grace.saturating_sub(self.cfg.way_most.mul_f64(DRAIN_WAYS) + behind);
-        let short = lines > PLAN_ROOM * self.cfg.backlog || lead < self.cfg.way_most / 2;
-        let heads = HEADS * self.cfg.head * self.joined() as f64 / self.cfg.backlog;
-        let from = DRAIN_ROOM.0.min(DRAIN_ROOM.1 - heads).max(LEAVE_ROOM.1);
-        let (mut view, drain, leave) = (None, self.has_room(from), self.has_room(LEAVE_ROOM.0));
+        let lead =
+            self.cfg.drain_grace.saturating_sub(self.cfg.max_transit.mul_f64(DRAIN_TRANSIT_FACTOR) + behind);
+        let short = lines > PLAN_START_FILL * self.cfg.max_backlog_lines || lead < self.cfg.max_transit / 2;
+        let heads = MIN_DRAIN_MESSAGES * self.cfg.message_overhead_lines * self.joined_proxies() as f64
+            / self.cfg.max_backlog_lines;
+        let from = DRAIN_START_FILL.min(DRAIN_STOP_FILL - heads).max(LEAVE_STOP_FILL);
+        let (mut view, drain, leave) =
+            (None, self.channel_is_below(from), self.channel_is_below(LEAVE_START_FILL));
         let mut departures = BTreeMap::new();
         for id in 0..self.slices.len() {
             let Some(owner) = self.slices[id].owner else { continue };
             let server = &self.servers[owner];
-            let (well, listed) = (usable(server), server.listed);
-            let late = self.now >= server.told + lead;
-            let cut = listed != Listed::Draining || server.sick.is_some() || server.suspected || short;
+            let (well, listed) = (usable(server), server.listed_status);
+            let late = self.now >= server.not_ready_since + lead;
+            let cut =
+                listed != Listed::Draining || server.unhealthy_until.is_some() || server.suspected || short;
             let cut = if guarded { cut } else { listed != Listed::Ready && late };
             match &self.slices[id].handover {
-                Some(moving) if well || moving.cut => {}
-                Some(_) if cut || late => self.cut(id),
-                None if drain && listed != Listed::Ready && self.has_room(DRAIN_ROOM.1)
-                    || leave && (!well || self.cold(owner)) && self.has_room(LEAVE_ROOM.1) =>
+                Some(moving) if well || moving.revoked => {}
+                Some(_) if cut || late => self.revoke_line(id),
+                None if drain && listed != Listed::Ready && self.channel_is_below(DRAIN_STOP_FILL)
+                    || leave && (!well || self.is_cold(owner)) && self.channel_is_below(LEAVE_STOP_FILL) =>
                 {
-                    let v: &mut View = view.get_or_insert_with(|| self.view());
+                    let v: &mut LoadSnapshot = view.get_or_insert_with(|| self.load_snapshot());
                     // Where none has room it is chosen with the grant, when more is known of those that have started.
-                    let to = self.candidate(id, v).or_else(|| self.destination(id, v).filter(|_| !guarded));
-                    let add = to.map_or(0.0, |to| self.add(v, id, to));
-                    let over = v.own[owner] > self.cold_budget() && to.is_some_and(|to| v.rooms[to] >= add);
+                    let to = self
+                        .destination_with_headroom(id, v)
+                        .or_else(|| self.destination(id, v).filter(|_| !guarded));
+                    let add = to.map_or(0.0, |to| self.added_load(v, id, to));
+                    let over = v.own_loads[owner] > self.unreported_cold_budget()
+                        && to.is_some_and(|to| v.headroom[to] >= add);
                     if !well || over {
-                        v.own[owner] -= v.demand[id] * v.units[owner];
+                        v.own_loads[owner] -= v.demand[id] * v.load_per_demand[owner];
                         if let Some(to) = to {
-                            v.place(to, add);
+                            v.reserve(to, add);
                         }
                         departures.entry((owner, to)).or_insert_with(Vec::new).push(id);
-                        self.stop(id, to, cut);
+                        self.start_handover(id, to, cut);
                     }
                 }
                 _ => {}
@@ -54,34 +62,34 @@
 
     /// Where a slice that must leave goes: the less loaded of its first usable candidates, walking on in its hash
     /// order past those without room.
-    pub(super) fn candidate(&self, id: SliceId, view: &View) -> Option<usize> {
-        let add = |i: &usize| self.add(view, id, *i);
-        let fits = |i: &usize| takes_slices(&self.servers[*i]) && view.rooms[*i] >= add(i);
+    pub(super) fn destination_with_headroom(&self, id: SliceId, view: &LoadSnapshot) -> Option<usize> {
+        let add = |i: &usize| self.added_load(view, id, *i);
+        let fits = |i: &usize| accepts_slices(&self.servers[*i]) && view.headroom[*i] >= add(i);
         let least = |a: &usize, b: &usize| (view.loads[*a] + add(a)).total_cmp(&(view.loads[*b] + add(b)));
-        self.others(id).filter(fits).take(CANDIDATES).min_by(least)
+        self.other_candidates(id).filter(fits).take(HASH_CANDIDATES).min_by(least)
     }
 
     /// The same, or where no server has room any that is ready, by weighted rendezvous hashing: slices of all
     /// assigners spread as capacity is free, though none knows what the others move. Levels let in what each can do;
     /// where there are none to hold a cold server to its budget, the least loaded warm one.
-    pub(super) fn destination(&self, id: SliceId, view: &View) -> Option<usize> {
+    pub(super) fn destination(&self, id: SliceId, view: &LoadSnapshot) -> Option<usize> {
         let spreads = self.cfg.admission == Admission::Share;
         let unfit = |i: &usize| {
             let server = &self.servers[*i];
-            (!takes_slices(server), !server.proven || !spreads && self.cold(*i))
+            (!accepts_slices(server), !server.seen_serving || !spreads && self.is_cold(*i))
         };
         let score = |i: &usize| {
             let server = &self.servers[*i];
-            let load = view.loads[*i].max(view.own[*i]);
+            let load = view.loads[*i].max(view.own_loads[*i]);
             if !spreads {
-                return load + self.add(view, id, *i);
+                return load + self.added_load(view, id, *i);
             }
-            let free = (1.0 - load).max(FREE_LEAST);
-            let draw = (server.ep.weight(id) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-            -draw.ln() / (free * self.ramp(server) * server.size)
+            let free = (1.0 - load).max(MIN_FREE_FRACTION);
+            let draw = (server.endpoint.weight(id) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+            -draw.ln() / (free * self.slow_start_factor(server) * server.size)
         };
         let best = |a: &usize, b: &usize| unfit(a).cmp(&unfit(b)).then(score(a).total_cmp(&score(b)));
-        self.candidate(id, view).or_else(|| self.others(id).min_by(best))
+        self.destination_with_headroom(id, view).or_else(|| self.other_candidates(id).min_by(best))
     }
 }
 
--- a/crates/whinhill/src/assigner/evacuation/tests.rs
+++ b/crates/whinhill/src/assigner/evacuation/tests.rs
@@ -20,10 +20,10 @@
         assigner.slices[slice] = Slice::default();
     }
     for server in WARM + 1..SERVERS {
-        assigner.servers[server].started = Some(assigner.now);
+        assigner.servers[server].started_at = Some(assigner.now);
     }
-    assigner.servers[DRAINING].listed = Listed::Draining;
-    assigner.servers[DRAINING].told = assigner.now;
+    assigner.servers[DRAINING].listed_status = Listed::Draining;
+    assigner.servers[DRAINING].not_ready_since = assigner.now;
     assigner.servers[DRAINING].cpu = Some((0.9, assigner.now));
     assigner.servers[WARM].cpu = Some((0.75, assigner.now));
     assigner
@@ -57,7 +57,7 @@
 #[test]
 fn servers_that_are_seen_to_serve_before_the_grant_count_as_destinations() {
     let mut assigner = one_of_five(0);
-    assigner.servers[WARM + 1..].iter_mut().for_each(|server| server.proven = false);
+    assigner.servers[WARM + 1..].iter_mut().for_each(|server| server.seen_serving = false);
     let mut orders = assigner.handle(s(100.0), &[Event::Timer]);
     let answered = |server| Event::Probed { ep: ep(server), result: Probe::Ok, load: LoadReport::default() };
     let answers: Vec<Event> = (WARM + 1..SERVERS).map(answered).collect();
--- a/crates/whinhill/src/assigner/handover/property.rs
+++ b/crates/whinhill/src/assigner/handover/property.rs
@@ -87,7 +87,7 @@
 impl Model {
     fn new() -> Self {
         let mut assigner = fleet(SERVERS, &[(0, 0.1)]);
-        let joined = Proxy { zone: 0, joined: true, since: s(0.0) };
+        let joined = Proxy { zone: 0, joined: true, state_since: s(0.0) };
         assigner.proxies = (0..PROXIES as u32).map(|id| (id, joined)).collect();
         let table = Table { line: Some(0), writes: true };
         let proxy = ModelProxy {
@@ -108,7 +108,7 @@
     }
 
     fn begin(&mut self, now: u32, proxy: usize, trouble: Trouble) {
-        let lease = steps(self.assigner.cfg.lease);
+        let lease = steps(self.assigner.cfg.write_lease);
         let owner = self.assigner.owner(0);
         let one = &mut self.proxies[proxy];
         match trouble {
@@ -117,7 +117,7 @@
                 let entry =
                     Entry { ep: ep(owner), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
                 // One is always left.
-                let ready = self.assigner.servers.iter().filter(|s| s.listed == Listed::Ready).count();
+                let ready = self.assigner.servers.iter().filter(|s| s.listed_status == Listed::Ready).count();
                 if ready > 1 {
                     self.events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
                 }
@@ -182,9 +182,9 @@
     /// The rules, after a step.
     fn judge(&mut self, now: u32) -> Result<(), TestCaseError> {
         let cfg = &self.assigner.cfg;
-        let in_hand = steps(cfg.settle);
+        let in_hand = steps(cfg.settle_time);
         // To the grant, its own way, and the read of the store of a proxy that has just come back.
-        let longest = steps(cfg.way_most * 3 + cfg.lease + cfg.settle) + READS_WITHIN_STEPS + 4;
+        let longest = steps(cfg.max_transit * 3 + cfg.write_lease + cfg.settle_time) + READS_WITHIN_STEPS + 4;
         for (id, one) in self.proxies.iter_mut().enumerate() {
             let lacks_line = one.is_up && one.table.line.is_none();
             one.without_line = if lacks_line { one.without_line + 1 } else { 0 };
--- a/crates/whinhill/src/assigner/handover/tests.rs
+++ b/crates/whinhill/src/assigner/handover/tests.rs
@@ -29,15 +29,15 @@
 /// An assigner of 150 proxies with slices at server 0; the others are idle.
 fn large_fleet(slices: usize) -> Assigner {
     let mut a = fleet(4, &vec![(0, 1.0); slices]);
-    a.proxies = (0..PROXIES).map(|id| (id, Proxy { zone: 0, joined: true, since: s(0.0) })).collect();
-    (a.cfg.lines_per_s, a.cfg.backlog) = (40_000.0, 60_000.0);
+    a.proxies = (0..PROXIES).map(|id| (id, Proxy { zone: 0, joined: true, state_since: s(0.0) })).collect();
+    (a.cfg.lines_per_s, a.cfg.max_backlog_lines) = (40_000.0, 60_000.0);
     a
 }
 
 /// Longest from the message that stops writes to the grant, by the settings: the message is known to have left and
 /// has arrived, a lease, and what is in hand.
 fn longest(a: &Assigner) -> Duration {
-    a.cfg.way_most * 2 + a.cfg.lease + a.cfg.settle + STEP * 2
+    a.cfg.max_transit * 2 + a.cfg.write_lease + a.cfg.settle_time + STEP * 2
 }
 
 /// Answers to marks that are on their way.
@@ -151,7 +151,7 @@
 #[test]
 fn no_grant_comes_before_any_proxy_has_shown_that_writes_were_stopped() {
     let mut a = fleet(3, &[(0, 1.0)]);
-    a.stop(0, Some(1), true);
+    a.start_handover(0, Some(1), true);
     for step in 0..400 {
         let orders = a.handle(s(100.0) + STEP * step, &[Event::Timer]);
         assert!(!orders.iter().any(|order| matches!(order, Order::Grant { .. })), "step {step}");
@@ -162,16 +162,16 @@
 #[test]
 fn a_full_channel_does_not_keep_a_line_away_for_longer_than_the_rule_allows() {
     let mut a = fleet(3, &[(0, 1.0)]);
-    a.cfg.empty_for = s(9.0);
-    a.stop(0, Some(1), true);
+    a.cfg.max_time_without_line = s(9.0);
+    a.start_handover(0, Some(1), true);
     let begin = a.now;
     let mut events = vec![Event::Timer];
     for step in 0..600 {
         let now = begin + STEP * step;
-        a.channel.lines = 0.5 * a.cfg.backlog;
+        a.channel.queued_lines = 0.5 * a.cfg.max_backlog_lines;
         let orders = a.handle(now, &std::mem::take(&mut events));
         if orders.iter().any(|order| matches!(order, Order::Grant { .. })) {
-            assert!(now + a.cfg.way_most < begin + a.cfg.empty_for, "{:?}", now - begin);
+            assert!(now + a.cfg.max_transit < begin + a.cfg.max_time_without_line, "{:?}", now - begin);
             return;
         }
         let marks = orders.iter().filter_map(|order| match order {
@@ -187,7 +187,7 @@
 /// An assigner is given a slice, with a line that the store names or without one, and one proxy is silent.
 fn time_to_grant_what_is_given(stored: bool) -> Duration {
     let mut a = large_fleet(1);
-    a.cfg.proxies = PROXIES as usize;
+    a.cfg.total_proxies = PROXIES as usize;
     let begin = a.now;
     let mut events = vec![Event::Given { slice: 0 }];
     if stored {
@@ -224,7 +224,7 @@
 fn a_destination_that_goes_during_the_wait_costs_no_second_one() {
     let mut a = large_fleet(1);
     let begin = a.now;
-    a.stop(0, Some(1), true);
+    a.start_handover(0, Some(1), true);
     let (mut answers, mut now) = (Answers::default(), begin);
     let to = loop {
         let mut events = answers.due(now);
@@ -248,10 +248,10 @@
 fn further_answers_to_the_stop_do_not_make_it_sent_earlier() {
     let mut a = large_fleet(1);
     let begin = a.now;
-    a.stop(0, Some(1), false);
+    a.start_handover(0, Some(1), false);
     a.handle(begin, &[Event::Timer]);
     let answer = |proxy| Event::Acked { proxy, mark: 1, way: s(0.1) };
-    let sent = |a: &Assigner| a.slices[0].handover.as_ref().and_then(|handover| handover.stop_sent);
+    let sent = |a: &Assigner| a.slices[0].handover.as_ref().and_then(|handover| handover.stop_sent_by);
     a.handle(begin + s(0.1), &[answer(0)]);
     let first = sent(&a);
     a.handle(begin + s(0.2), &[Event::Timer]);
--- a/crates/whinhill/src/assigner/plan.rs
+++ b/crates/whinhill/src/assigner/plan.rs
@@ -4,39 +4,42 @@
 
 impl Assigner {
     /// The ready servers beside the owner, in the slice's hash order, alike at every assigner.
-    pub(super) fn others(&self, id: SliceId) -> impl Iterator<Item = usize> + '_ {
-        let fit =
-            move |i: &usize| Some(*i) != self.slices[id].owner && self.servers[*i].listed == Listed::Ready;
-        self.orders[id].iter().copied().filter(fit)
+    pub(super) fn other_candidates(&self, id: SliceId) -> impl Iterator<Item = usize> + '_ {
+        let fit = move |i: &usize| {
+            Some(*i) != self.slices[id].owner && self.servers[*i].listed_status == Listed::Ready
+        };
+        self.rendezvous_order[id].iter().copied().filter(fit)
     }
 
-    pub(super) fn movable(&self, slice: &Slice) -> bool {
-        slice.handover.is_none() && slice.owner.is_some() && self.now >= slice.stays
+    pub(super) fn is_movable(&self, slice: &Slice) -> bool {
+        slice.handover.is_none() && slice.owner.is_some() && self.now >= slice.movable_from
     }
 
     /// The greedy pass: moves that bring every server of ours under `limit`, with little demand moved.
     /// With `partly`, it keeps what it found even if some servers stay above.
-    pub(super) fn pass(&self, view: &View, limit: f64, partly: bool) -> Option<Vec<Move>> {
-        let (mut loads, mut rooms) = (view.loads.clone(), view.rooms.clone());
+    pub(super) fn greedy_moves(&self, view: &LoadSnapshot, limit: f64, partly: bool) -> Option<Vec<Move>> {
+        let (mut loads, mut rooms) = (view.loads.clone(), view.headroom.clone());
         let (mut moves, mut stuck) = (Vec::<Move>::new(), vec![false; loads.len()]);
         loop {
-            let fit = |i: &usize| !stuck[*i] && loads[*i] > limit && self.servers[*i].listed == Listed::Ready;
+            let fit = |i: &usize| {
+                !stuck[*i] && loads[*i] > limit && self.servers[*i].listed_status == Listed::Ready
+            };
             let over = self.slices.iter().filter_map(|s| s.owner).filter(fit);
             let over = over.min_by(|a, b| loads[*b].total_cmp(&loads[*a]).then(b.cmp(a)));
             let Some(from) = over else { return Some(moves) };
             let mut best: Option<((u8, f64), Move)> = None;
             for (id, slice) in self.slices.iter().enumerate() {
                 let moved = moves.iter().any(|(s, _)| *s == id);
-                if !self.movable(slice) || slice.owner != Some(from) || moved || view.demand[id] <= 0.0 {
+                if !self.is_movable(slice) || slice.owner != Some(from) || moved || view.demand[id] <= 0.0 {
                     continue;
                 }
                 // The least demand that does it; where none does, the most.
-                let off = view.demand[id] * view.units[from];
+                let off = view.demand[id] * view.load_per_demand[from];
                 let cost = if off >= loads[from] - limit { (0, off) } else { (1, -off) };
-                for to in self.others(id).take(CANDIDATES) {
-                    let add = self.add(view, id, to);
+                for to in self.other_candidates(id).take(HASH_CANDIDATES) {
+                    let add = self.added_load(view, id, to);
                     let fits =
-                        takes_slices(&self.servers[to]) && add <= rooms[to] && loads[to] + add <= limit;
+                        accepts_slices(&self.servers[to]) && add <= rooms[to] && loads[to] + add <= limit;
                     if fits && best.is_none_or(|(least, _)| cost < least) {
                         best = Some((cost, (id, to)));
                     }
@@ -44,9 +47,9 @@
             }
             match best {
                 Some((_, (id, to))) => {
-                    loads[from] -= view.demand[id] * view.units[from];
-                    loads[to] += view.demand[id] * view.units[to];
-                    rooms[to] -= self.add(view, id, to);
+                    loads[from] -= view.demand[id] * view.load_per_demand[from];
+                    loads[to] += view.demand[id] * view.load_per_demand[to];
+                    rooms[to] -= self.added_load(view, id, to);
                     moves.push((id, to));
                 }
                 None if partly => stuck[from] = true,
@@ -57,52 +60,59 @@
 
     /// SWAT's three stages in order; the first that finds moves fills the batches.
     pub(super) fn make_plan(&mut self) {
-        if !self.plan.batch.is_empty() || !self.plan.batches.is_empty() || self.awaits_quiet_times() {
+        if !self.plan.running_batch.is_empty()
+            || !self.plan.pending_batches.is_empty()
+            || self.should_postpone()
+        {
             return;
         }
-        let view = self.view();
-        let wished = self.fitting_wishes(&view);
+        let view = self.load_snapshot();
+        let wished = self.take_fitting_requests(&view);
         if !wished.is_empty() {
-            self.out.push(Order::Log { text: format!("wishes: {} moves", wished.len()) });
+            self.output.push(Order::Log { text: format!("wishes: {} moves", wished.len()) });
             // An operator's word goes before the time that a moved slice stays.
-            wished.iter().for_each(|(id, _)| self.slices[*id].stays = self.now);
-            self.plan.batches = self.sequence(wished, &view);
+            wished.iter().for_each(|(id, _)| self.slices[*id].movable_from = self.now);
+            self.plan.pending_batches = self.order_into_batches(wished, &view);
             return;
         }
-        let fit = || view.loads.iter().zip(&self.servers).filter(|(_, s)| usable(s) && s.proven);
-        let hot = fit().any(|(load, _)| *load > THRESHOLD);
-        let off = |load: f64| (load - view.average).abs() > SKEW * view.average;
-        let skewed = fit().any(|(load, _)| off(*load)) && fit().any(|(_, s)| self.waits(s));
-        self.plan.skewed = if skewed { self.plan.skewed + 1 } else { 0 };
-        let find = |limit: f64, partly| self.pass(&view, limit, partly).filter(|moves| !moves.is_empty());
-        let level = || TARGETS.iter().find_map(|t| find((t * view.average).min(THRESHOLD), false));
-        let cool = |partly| if hot { find(THRESHOLD, partly) } else { None };
-        let leveling = (self.plan.skewed >= SKEW_ROUNDS).then(level).flatten();
+        let fit = || view.loads.iter().zip(&self.servers).filter(|(_, s)| usable(s) && s.seen_serving);
+        let hot = fit().any(|(load, _)| *load > HOT_LOAD);
+        let off = |load: f64| (load - view.average_load).abs() > SKEW_FRACTION * view.average_load;
+        let skewed = fit().any(|(load, _)| off(*load)) && fit().any(|(_, s)| self.has_queueing(s));
+        self.plan.skewed_rounds = if skewed { self.plan.skewed_rounds + 1 } else { 0 };
+        let find =
+            |limit: f64, partly| self.greedy_moves(&view, limit, partly).filter(|moves| !moves.is_empty());
+        let level = || {
+            LEVELING_TARGET_FACTORS.iter().find_map(|t| find((t * view.average_load).min(HOT_LOAD), false))
+        };
+        let cool = |partly| if hot { find(HOT_LOAD, partly) } else { None };
+        let leveling = (self.plan.skewed_rounds >= MIN_SKEWED_ROUNDS).then(level).flatten();
         let found = leveling.map(|moves| ("leveling", moves));
         let found = found.or_else(|| cool(false).map(|moves| ("elimination", moves)));
         let found = found.or_else(|| cool(true).map(|moves| ("mitigation", moves)));
         let Some((stage, moves)) = found else { return };
-        let text = format!("{stage}: {} moves, average {:.2}", moves.len(), view.average);
-        self.out.push(Order::Log { text });
-        (self.plan.skewed, self.plan.batches) = (0, self.sequence(moves, &view));
+        let text = format!("{stage}: {} moves, average {:.2}", moves.len(), view.average_load);
+        self.output.push(Order::Log { text });
+        (self.plan.skewed_rounds, self.plan.pending_batches) = (0, self.order_into_batches(moves, &view));
     }
 
     /// A proxy that left lately stalls the writes of what moves to its lease's end, so plans are postponed; not for
     /// ever, since some proxies may be away at any time.
-    fn awaits_quiet_times(&mut self) -> bool {
-        let is_away = |proxy: &Proxy| !proxy.joined && self.now < proxy.since + self.cfg.lease;
+    fn should_postpone(&mut self) -> bool {
+        let is_away = |proxy: &Proxy| !proxy.joined && self.now < proxy.state_since + self.cfg.write_lease;
         let some_away = self.proxies.values().any(is_away);
-        self.plan.postponed = if some_away { self.plan.postponed.saturating_add(1) } else { 0 };
-        (1..=POSTPONED_MOST).contains(&self.plan.postponed)
+        self.plan.postponed_rounds = if some_away { self.plan.postponed_rounds.saturating_add(1) } else { 0 };
+        (1..=MAX_POSTPONED_ROUNDS).contains(&self.plan.postponed_rounds)
     }
 
     /// Wishes that fit now. What doesn't is let go: whoever wished may wish again.
-    pub(super) fn fitting_wishes(&mut self, view: &View) -> Vec<Move> {
-        let (mut rooms, wishes) = (view.rooms.clone(), std::mem::take(&mut self.plan.wishes));
+    pub(super) fn take_fitting_requests(&mut self, view: &LoadSnapshot) -> Vec<Move> {
+        let (mut rooms, wishes) = (view.headroom.clone(), std::mem::take(&mut self.plan.requested_moves));
         let fits = |(id, to): &Move| {
-            let (slice, server, add) = (&self.slices[*id], &self.servers[*to], self.add(view, *id, *to));
+            let (slice, server, add) =
+                (&self.slices[*id], &self.servers[*to], self.added_load(view, *id, *to));
             let free = slice.handover.is_none() && slice.owner.is_some_and(|owner| owner != *to);
-            let fits = free && takes_slices(server) && server.proven && add <= rooms[*to];
+            let fits = free && accepts_slices(server) && server.seen_serving && add <= rooms[*to];
             rooms[*to] -= if fits { add } else { 0.0 };
             fits
         };
@@ -110,7 +120,11 @@
     }
 
     /// Sinks first; a cycle breaks at the server least loaded after its incoming moves.
-    pub(super) fn sequence(&self, mut moves: Vec<Move>, view: &View) -> VecDeque<Vec<Move>> {
+    pub(super) fn order_into_batches(
+        &self,
+        mut moves: Vec<Move>,
+        view: &LoadSnapshot,
+    ) -> VecDeque<Vec<Move>> {
         let mut batches = VecDeque::new();
         while !moves.is_empty() {
             let leaves = |i: usize| moves.iter().any(|(s, _)| self.slices[*s].owner == Some(i));
@@ -118,7 +132,7 @@
             if sinks.is_empty() {
                 let after = |i: usize| -> f64 {
                     let incoming = moves.iter().filter(|m| m.1 == i);
-                    view.loads[i] + incoming.map(|m| view.demand[m.0] * view.units[i]).sum::<f64>()
+                    view.loads[i] + incoming.map(|m| view.demand[m.0] * view.load_per_demand[i]).sum::<f64>()
                 };
                 sinks.extend(moves.iter().map(|m| m.1).min_by(|a, b| after(*a).total_cmp(&after(*b))));
             }
@@ -130,16 +144,16 @@
     }
 
     /// Starts a batch once the one before is done.
-    pub(super) fn run_batches(&mut self) {
-        self.plan.batch.retain(|id| self.slices[*id].handover.is_some());
-        if !self.plan.batch.is_empty() || !self.has_room(PLAN_ROOM) {
+    pub(super) fn run_next_batch(&mut self) {
+        self.plan.running_batch.retain(|id| self.slices[*id].handover.is_some());
+        if !self.plan.running_batch.is_empty() || !self.channel_is_below(PLAN_START_FILL) {
             return;
         }
-        let Some(moves) = self.plan.batches.pop_front() else { return };
+        let Some(moves) = self.plan.pending_batches.pop_front() else { return };
         for (slice, to) in moves {
-            if self.movable(&self.slices[slice]) && takes_slices(&self.servers[to]) {
-                self.stop(slice, Some(to), false);
-                self.plan.batch.push(slice);
+            if self.is_movable(&self.slices[slice]) && accepts_slices(&self.servers[to]) {
+                self.start_handover(slice, Some(to), false);
+                self.plan.running_batch.push(slice);
             }
         }
     }
--- a/crates/whinhill/src/assigner/resent.rs
+++ b/crates/whinhill/src/assigner/resend.rs
@@ -5,13 +5,13 @@
 impl Assigner {
     /// Whether so many orders fit the channel once more.
     pub fn may_send_again(&self, orders: usize) -> bool {
-        self.channel.lines + self.lines(orders) < DRAIN_ROOM.1 * self.cfg.backlog
+        self.channel.queued_lines + self.message_lines(orders) < DRAIN_STOP_FILL * self.cfg.max_backlog_lines
     }
 
     /// So many orders were sent again.
     pub fn sent_again(&mut self, now: Duration, orders: usize) {
-        let lines = self.lines(orders);
-        self.channel.lines += lines;
-        self.channel.sent.push_back((self.channel.marks, lines, now));
+        let lines = self.message_lines(orders);
+        self.channel.queued_lines += lines;
+        self.channel.queued_messages.push_back((self.channel.last_ack_seq, lines, now));
     }
 }
--- a/crates/whinhill/src/settings.rs
+++ b/crates/whinhill/src/settings.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Settings, SettingsError};
 
 pub struct Method {
-    pub soft: Duration,
+    pub soft_deadline: Duration,
     pub criticality: f64,
     pub writes: bool,
 }
@@ -22,43 +22,43 @@
 }
 
 pub struct Config {
-    pub watch: bool,
-    pub must_ask: Duration,
+    pub watch_list: bool,
+    pub max_list_request_interval: Duration,
     /// A server that the list only drops need not leave the tables.
-    pub gone_is_advice: bool,
-    pub probes: bool,
+    pub gone_is_advisory: bool,
+    pub may_probe: bool,
     pub methods: Vec<Method>,
     /// The methods, least critical first.
-    pub ranks: Vec<usize>,
+    pub methods_by_criticality: Vec<usize>,
     /// In seconds.
-    pub mean_soft: f64,
+    pub mean_soft_deadline_s: f64,
     pub tries: u8,
     pub period: Duration,
     /// A slice has one line, and writes go to one server at a time.
     pub exclusive: bool,
     /// Writes to a slice must have ended at one owner before the next gets any.
-    pub guarded: bool,
+    pub fence_writes: bool,
     pub admission: Admission,
-    pub lease: Duration,
+    pub write_lease: Duration,
     /// All that there are, across all assigners.
-    pub proxies: usize,
+    pub total_proxies: usize,
     /// All that there are, this one with them.
-    pub assigners: usize,
-    pub settle: Duration,
+    pub total_assigners: usize,
+    pub settle_time: Duration,
     /// For how long a proxy may have no line.
-    pub empty_for: Duration,
+    pub max_time_without_line: Duration,
     /// How long a guarded move of a slice takes.
-    pub move_time: Duration,
-    pub grace: Duration,
-    pub way_most: Duration,
-    pub warm_after: Duration,
-    pub cold_from: f64,
-    pub fall_multiple: f64,
-    pub head: f64,
+    pub fenced_move_time: Duration,
+    pub drain_grace: Duration,
+    pub max_transit: Duration,
+    pub warm_up_time: Duration,
+    pub cold_capacity: f64,
+    pub collapse_multiple: f64,
+    pub message_overhead_lines: f64,
     pub lines_per_s: f64,
-    pub backlog: f64,
-    pub messages_most: usize,
-    pub messages_span: Duration,
+    pub max_backlog_lines: f64,
+    pub max_messages: usize,
+    pub message_window: Duration,
 }
 
 impl Config {
@@ -66,7 +66,7 @@
         let writes = settings.flags("familyInfo.mutating")?;
         let method = |k: usize| {
             Ok(Method {
-                soft: settings.span(&format!("classes.{k}.objective"))?,
+                soft_deadline: settings.span(&format!("classes.{k}.objective"))?,
                 criticality: settings.get(&format!("classes.{k}.points"))?,
                 writes: writes.get(k).copied().unwrap_or(true),
             })
@@ -75,7 +75,7 @@
         let methods: Vec<Method> =
             (0..settings.get("classes.count")?).map(method).collect::<Result<_, _>>()?;
         let mean_soft =
-            methods.iter().map(|m| m.soft.as_secs_f64()).sum::<f64>() / methods.len().max(1) as f64;
+            methods.iter().map(|m| m.soft_deadline.as_secs_f64()).sum::<f64>() / methods.len().max(1) as f64;
         let mut ranks: Vec<usize> = (0..methods.len()).collect();
         ranks.sort_by(|a, b| methods[*a].criticality.total_cmp(&methods[*b].criticality));
         let exclusive = settings.optional(settings.flag("familyInfo.oneOwner"))?.unwrap_or(true);
@@ -99,35 +99,35 @@
         // Absent where nothing need be asked: then never.
         let never = Duration::from_secs(u64::from(u32::MAX));
         Ok(Config {
-            watch,
-            must_ask: settings.optional(settings.span("rules.mustAskIn"))?.unwrap_or(never),
-            gone_is_advice: settings.optional(settings.flag("rules.goneIsAdvice"))?.unwrap_or(false),
-            probes: settings.flag("caps.mayProbe")?,
+            watch_list: watch,
+            max_list_request_interval: settings.optional(settings.span("rules.mustAskIn"))?.unwrap_or(never),
+            gone_is_advisory: settings.optional(settings.flag("rules.goneIsAdvice"))?.unwrap_or(false),
+            may_probe: settings.flag("caps.mayProbe")?,
             methods,
-            ranks,
-            mean_soft,
+            methods_by_criticality: ranks,
+            mean_soft_deadline_s: mean_soft,
             tries: settings.get("familyInfo.retryDefault")?,
             period: settings.span("familyInfo.period")?.max(Duration::from_millis(1)),
             exclusive,
-            guarded,
+            fence_writes: guarded,
             admission,
-            lease: waits(lease),
-            move_time: lease + settle,
+            write_lease: waits(lease),
+            fenced_move_time: lease + settle,
             // Absent where nobody counts them: then some may always be unheard of.
-            proxies: settings.optional(settings.get("familyInfo.dataPlaneSize"))?.unwrap_or(usize::MAX),
-            assigners: settings.optional(settings.get("peersTotal"))?.unwrap_or(1),
-            settle: waits(settle),
-            empty_for: settings.optional(settings.span("familyInfo.emptyFor"))?.unwrap_or(never),
-            grace: settings.span("rules.stopSendingWithin")?,
-            way_most: settings.span("familyInfo.transitMax")?,
-            warm_after: settings.span("rules.warmAfter")?.max(Duration::from_millis(1)),
-            cold_from: settings.get("rules.coldFrom")?,
-            fall_multiple: settings.get("rules.fallMultiple")?,
-            head: settings.get("familyInfo.overhead")?,
+            total_proxies: settings.optional(settings.get("familyInfo.dataPlaneSize"))?.unwrap_or(usize::MAX),
+            total_assigners: settings.optional(settings.get("peersTotal"))?.unwrap_or(1),
+            settle_time: waits(settle),
+            max_time_without_line: settings.optional(settings.span("familyInfo.emptyFor"))?.unwrap_or(never),
+            drain_grace: settings.span("rules.stopSendingWithin")?,
+            max_transit: settings.span("familyInfo.transitMax")?,
+            warm_up_time: settings.span("rules.warmAfter")?.max(Duration::from_millis(1)),
+            cold_capacity: settings.get("rules.coldFrom")?,
+            collapse_multiple: settings.get("rules.fallMultiple")?,
+            message_overhead_lines: settings.get("familyInfo.overhead")?,
             lines_per_s: settings.get("familyInfo.linesPerS")?,
-            backlog: settings.get("familyInfo.backlog")?,
-            messages_most: settings.get("familyInfo.messagesMost")?,
-            messages_span: settings.span("familyInfo.reloadSpan")?,
+            max_backlog_lines: settings.get("familyInfo.backlog")?,
+            max_messages: settings.get("familyInfo.messagesMost")?,
+            message_window: settings.span("familyInfo.reloadSpan")?,
         })
     }
 }
