--- a/crates/whinhill/src/assigner/tests.rs
+++ b/crates/whinhill/src/assigner/tests.rs
@@ -1,7 +1,8 @@
-//! Each test builds the state that it needs and calls one function.
+//! Tests of the assigner's decisions. Each builds the state that it needs and mostly calls one function.
 
 use super::*;
 
+/// Settings of most tests; the number of slices is appended.
 const SETTINGS: &str = "discovery=subscribe rules.mustAskIn=10000 caps.mayProbe=0 classes.count=2 \
     classes.0.objective=1000 classes.0.points=1 classes.1.objective=1000 classes.1.points=5 \
     familyInfo.mutating=false,true familyInfo.retryDefault=0 familyInfo.period=1000 familyInfo.writeLease=4000 \
@@ -9,855 +10,914 @@
     rules.coldFrom=0.2 rules.fallMultiple=3 familyInfo.overhead=8 familyInfo.linesPerS=4000 \
     familyInfo.backlog=6000 familyInfo.messagesMost=0 familyInfo.reloadSpan=10000 familyInfo.shards=";
 
-pub(super) fn s(seconds: f64) -> Duration {
+/// Shorthand for a duration in seconds.
+pub(super) fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-pub(super) fn ep(index: usize) -> Ep {
+/// The endpoint of a server, with a stable id made from its index.
+pub(super) fn endpoint(index: usize) -> Ep {
     Ep { index, stable: (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) }
 }
 
-/// An assigner at 100 s: ready servers, two joined proxies, and a slice for each owner named, with a demand.
-pub(super) fn fleet(servers: usize, slices: &[(usize, f64)]) -> Assigner {
+/// An assigner at 100 s with ready servers, two joined proxies, and one slice for each pair of an owner and a demand.
+pub(super) fn assigner_with(servers: usize, slices: &[(usize, f64)]) -> Assigner {
     let text = format!("{SETTINGS}{}", slices.len());
-    let pairs = text.split_whitespace().map(|p| p.split_once('=').unwrap());
-    let settings = Settings(pairs.map(|(k, v)| (k.to_string(), v.to_string())).collect());
-    let mut a = Assigner::new(&settings, 7).unwrap();
-    a.now = s(100.0);
-    a.next_period_at = s(101.0);
-    a.subscription.request_at = Some(s(200.0));
+    let pairs = text.split_whitespace().map(|pair| pair.split_once('=').unwrap());
+    let settings = Settings(pairs.map(|(path, value)| (path.to_string(), value.to_string())).collect());
+    let mut assigner = Assigner::new(&settings, 7).unwrap();
+    assigner.now = secs(100.0);
+    assigner.next_period_at = secs(101.0);
+    assigner.subscription.request_at = Some(secs(200.0));
     for index in 0..servers {
-        *a.server_mut(ep(index)) = Server {
-            endpoint: ep(index),
+        *assigner.server_mut(endpoint(index)) = Server {
+            endpoint: endpoint(index),
             listed_status: Listed::Ready,
             seen_serving: true,
             size: 1.0,
-            last_ok_at: a.now,
+            last_ok_at: assigner.now,
             ..Server::default()
         };
     }
-    a.proxies = [0, 1].map(|id| (id, Proxy { zone: 0, joined: true, state_since: s(0.0) })).into();
-    for (slice, (owner, demand)) in a.slices.iter_mut().zip(slices) {
-        let sum = demand * a.cfg.period.as_secs_f64() / std::f64::consts::LN_2;
+    assigner.proxies = [0, 1].map(|id| (id, Proxy { zone: 0, joined: true, state_since: secs(0.0) })).into();
+    for (slice, (owner, demand)) in assigner.slices.iter_mut().zip(slices) {
+        let sum = demand * assigner.cfg.period.as_secs_f64() / std::f64::consts::LN_2;
         *slice = Slice {
             in_custody: true,
             owner: Some(*owner),
-            demand: DecayingSum { value: sum, updated_at: a.now },
+            demand: DecayingSum { value: sum, updated_at: assigner.now },
             published_levels: vec![1.0, 1.0],
             ..Slice::default()
         };
     }
-    a.rank_servers();
-    a
+    assigner.rank_servers();
+    assigner
 }
 
+/// The slices and servers of the grants among some orders.
 fn grants(orders: &[Order]) -> Vec<(SliceId, usize)> {
-    let grant = |o: &Order| match o {
+    let grant = |order: &Order| match order {
         Order::Grant { slice, ep } => Some((*slice, ep.index)),
         _ => None,
     };
     orders.iter().filter_map(grant).collect()
 }
 
+/// An ack whose message took effect after 0.3 s.
 fn ack(proxy: ProxyId, mark: u16) -> Event {
-    Event::Acked { proxy, mark, way: s(0.3) }
+    Event::Acked { proxy, mark, way: secs(0.3) }
 }
 
-fn entry(index: usize, listed: Listed) -> Entry {
-    Entry { ep: ep(index), zone: 0, listed, size: 1.0, started: None }
+/// A list entry of a server, in zone 0 and started long ago.
+fn list_entry(index: usize, listed: Listed) -> Entry {
+    Entry { ep: endpoint(index), zone: 0, listed, size: 1.0, started: None }
 }
 
-fn list(entries: Vec<Entry>) -> Event {
+/// A list update with some entries.
+fn list_changes(entries: Vec<Entry>) -> Event {
     Event::List { kind: ListKind::Changes, entries }
 }
 
-/// Starts moving slice 0 from server 0 to server 1.
-fn moving() -> Assigner {
-    let mut a = fleet(3, &[(0, 1.0)]);
-    a.start_handover(0, Some(1), false);
-    let orders = a.handle(s(100.0), &[Event::Timer]);
-    let stop = Order::Level { slice: 0, share: 0.0, methods: 2, tries: 0 };
-    assert!(orders.contains(&stop) && orders.contains(&Order::Mark { mark: 1 }));
-    a
+/// An assigner that has started to move slice 0 from server 0 to server 1.
+fn assigner_with_handover() -> Assigner {
+    let mut assigner = assigner_with(3, &[(0, 1.0)]);
+    assigner.start_handover(0, Some(1), false);
+    let orders = assigner.handle(secs(100.0), &[Event::Timer]);
+    let write_stop = Order::Level { slice: 0, share: 0.0, methods: 2, tries: 0 };
+    assert!(orders.contains(&write_stop) && orders.contains(&Order::Mark { mark: 1 }));
+    assigner
 }
 
 #[test]
-fn a_move_waits_for_every_ack_and_for_writes_to_settle() {
-    let mut a = moving();
-    a.handle(s(100.4), &[ack(0, 1)]);
-    assert_eq!(grants(&a.handle(s(102.0), &[Event::Timer])), []);
-    a.handle(s(102.5), &[Event::Acked { proxy: 1, mark: 1, way: s(2.2) }]);
-    assert_eq!(grants(&a.handle(s(103.3), &[Event::Timer])), []);
-    let orders = a.handle(s(103.5), &[Event::Timer]);
+fn move_waits_for_every_ack_and_settle_time_before_grant() {
+    let mut assigner = assigner_with_handover();
+    assigner.handle(secs(100.4), &[ack(0, 1)]);
+    assert_eq!(grants(&assigner.handle(secs(102.0), &[Event::Timer])), []);
+    assigner.handle(secs(102.5), &[Event::Acked { proxy: 1, mark: 1, way: secs(2.2) }]);
+    assert_eq!(grants(&assigner.handle(secs(103.3), &[Event::Timer])), []);
+    let orders = assigner.handle(secs(103.5), &[Event::Timer]);
     assert_eq!(grants(&orders), [(0, 1)]);
     assert!(orders.contains(&Order::Level { slice: 0, share: 1.0, methods: 2, tries: 0 }));
 }
 
 #[test]
-fn a_lost_proxy_holds_the_grant_until_its_lease_ends() {
-    let mut a = moving();
-    a.handle(s(100.5), &[ack(0, 1), Event::Left { proxy: 1 }]);
-    assert_eq!(grants(&a.handle(s(105.6), &[Event::Timer])), []);
-    assert_eq!(grants(&a.handle(s(105.8), &[Event::Timer])), [(0, 1)]);
+fn grant_waits_for_write_lease_of_disconnected_proxy() {
+    let mut assigner = assigner_with_handover();
+    assigner.handle(secs(100.5), &[ack(0, 1), Event::Left { proxy: 1 }]);
+    assert_eq!(grants(&assigner.handle(secs(105.6), &[Event::Timer])), []);
+    assert_eq!(grants(&assigner.handle(secs(105.8), &[Event::Timer])), [(0, 1)]);
 }
 
 #[test]
-fn a_proxy_that_joins_mid_move_must_hear_of_it_first() {
-    let mut a = moving();
-    let orders = a.handle(s(100.5), &[ack(0, 1), ack(1, 1), Event::Joined { proxy: 2, zone: 0 }]);
+fn grant_waits_for_ack_of_proxy_that_joins_during_handover() {
+    let mut assigner = assigner_with_handover();
+    let orders = assigner.handle(secs(100.5), &[ack(0, 1), ack(1, 1), Event::Joined { proxy: 2, zone: 0 }]);
     assert!(orders.contains(&Order::Mark { mark: 2 }));
-    assert_eq!(grants(&a.handle(s(103.0), &[Event::Timer])), []);
-    assert_eq!(grants(&a.handle(s(104.5), &[Event::Acked { proxy: 2, mark: 2, way: s(0.4) }])), [(0, 1)]);
+    assert_eq!(grants(&assigner.handle(secs(103.0), &[Event::Timer])), []);
+    assert_eq!(
+        grants(&assigner.handle(secs(104.5), &[Event::Acked { proxy: 2, mark: 2, way: secs(0.4) }])),
+        [(0, 1)]
+    );
 }
 
 #[test]
-fn proxies_that_restart_one_after_the_other_do_not_hold_a_line_away() {
-    let mut a = moving();
-    a.handle(s(100.1), &[list(vec![entry(0, Listed::Gone)]), ack(0, 1), ack(1, 1)]);
+fn acknowledged_proxies_that_restart_do_not_delay_grant() {
+    let mut assigner = assigner_with_handover();
+    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)]), ack(0, 1), ack(1, 1)]);
     for (at, proxy) in [(100.5, 0), (101.0, 1)] {
-        a.handle(s(at), &[Event::Left { proxy }, Event::Joined { proxy, zone: 0 }]);
+        assigner.handle(secs(at), &[Event::Left { proxy }, Event::Joined { proxy, zone: 0 }]);
     }
-    assert_eq!(grants(&a.handle(s(101.4), &[Event::Timer])), [(0, 1)]);
+    assert_eq!(grants(&assigner.handle(secs(101.4), &[Event::Timer])), [(0, 1)]);
 }
 
 #[test]
-fn an_owner_dead_mid_move_loses_its_line_at_once() {
-    let mut a = moving();
-    let orders = a.handle(s(100.1), &[list(vec![entry(0, Listed::Gone)])]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }));
+fn owner_gone_during_handover_has_line_revoked_at_once() {
+    let mut assigner = assigner_with_handover();
+    let orders = assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)])]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
 }
 
 #[test]
-fn a_destination_dead_mid_move_is_replaced_or_the_owner_keeps_the_slice() {
-    let mut a = moving();
-    a.handle(s(100.1), &[list(vec![entry(1, Listed::Gone)]), ack(0, 1), ack(1, 1)]);
-    let orders = a.handle(s(102.0), &[Event::Timer]);
+fn destination_gone_during_handover_leaves_slice_at_owner() {
+    let mut assigner = assigner_with_handover();
+    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(1, Listed::Gone)]), ack(0, 1), ack(1, 1)]);
+    let orders = assigner.handle(secs(102.0), &[Event::Timer]);
     assert_eq!(grants(&orders), []);
     assert!(orders.contains(&Order::Level { slice: 0, share: 1.0, methods: 2, tries: 0 }));
-    assert_eq!(a.slices[0].owner, Some(0));
+    assert_eq!(assigner.slices[0].owner, Some(0));
 }
 
 #[test]
-fn a_sick_owner_gets_its_slice_back_when_no_other_server_is_ready() {
-    let mut a = moving();
-    a.servers[0].unhealthy_until = Some(s(200.0));
-    a.handle(s(100.1), &[Event::Timer]);
-    let alone = list(vec![entry(1, Listed::Gone), entry(2, Listed::Gone)]);
-    a.handle(s(100.5), &[alone, ack(0, 1), ack(1, 1)]);
-    assert_eq!(grants(&a.handle(s(102.5), &[Event::Timer])), [(0, 0)]);
+fn unhealthy_owner_regains_slice_when_no_other_server_is_ready() {
+    let mut assigner = assigner_with_handover();
+    assigner.servers[0].unhealthy_until = Some(secs(200.0));
+    assigner.handle(secs(100.1), &[Event::Timer]);
+    let others_gone = list_changes(vec![list_entry(1, Listed::Gone), list_entry(2, Listed::Gone)]);
+    assigner.handle(secs(100.5), &[others_gone, ack(0, 1), ack(1, 1)]);
+    assert_eq!(grants(&assigner.handle(secs(102.5), &[Event::Timer])), [(0, 0)]);
 }
 
 #[test]
-fn a_slice_taken_away_mid_move_is_not_granted() {
-    let mut a = moving();
-    a.handle(s(100.1), &[Event::Taken { slice: 0 }, ack(0, 1), ack(1, 1)]);
-    assert_eq!(grants(&a.handle(s(110.0), &[Event::Timer])), []);
+fn slice_released_during_handover_is_not_granted() {
+    let mut assigner = assigner_with_handover();
+    assigner.handle(secs(100.1), &[Event::Taken { slice: 0 }, ack(0, 1), ack(1, 1)]);
+    assert_eq!(grants(&assigner.handle(secs(110.0), &[Event::Timer])), []);
 }
 
 #[test]
-fn a_slice_given_without_an_owner_waits_a_lease() {
-    let mut a = fleet(2, &[(0, 1.0)]);
-    a.handle(s(100.0), &[Event::Given { slice: 0 }]);
-    assert_eq!(grants(&a.handle(s(105.1), &[Event::Timer])), []);
-    assert_eq!(grants(&a.handle(s(105.3), &[Event::Timer])).len(), 1);
+fn slice_acquired_without_owner_waits_for_write_lease() {
+    let mut assigner = assigner_with(2, &[(0, 1.0)]);
+    assigner.handle(secs(100.0), &[Event::Given { slice: 0 }]);
+    assert_eq!(grants(&assigner.handle(secs(105.1), &[Event::Timer])), []);
+    assert_eq!(grants(&assigner.handle(secs(105.3), &[Event::Timer])).len(), 1);
 }
 
-/// A list that empties binds like any other, and must not leave the assigner without a way back.
+/// An empty list takes effect like any other; the assigner must recover when servers are listed again.
 #[test]
-fn after_a_list_that_empties_the_next_ready_server_gets_the_slices() {
-    let mut a = fleet(2, &[(0, 1.0)]);
+fn next_ready_server_gets_slices_after_empty_list() {
+    let mut assigner = assigner_with(2, &[(0, 1.0)]);
     let empty = Event::List { kind: ListKind::Full, entries: vec![] };
-    assert!(a.handle(s(100.0), &[empty]).contains(&Order::Revoke { slice: 0, ep: ep(0) }));
-    a.handle(s(100.5), &[ack(0, 1), ack(1, 1)]);
-    assert_eq!(grants(&a.handle(s(103.0), &[Event::Timer])), []);
-    let back = Event::List { kind: ListKind::Full, entries: vec![entry(1, Listed::Ready)] };
-    assert_eq!(grants(&a.handle(s(103.1), &[back])), [(0, 1)]);
-}
-
-/// A day that replaces every server under a new name must not fill the tables with those that are gone.
-#[test]
-fn an_index_goes_to_another_server_once_nothing_names_the_former() {
-    let mut a = fleet(3, &[(0, 1.0)]);
-    assert!(!a.is_done_with(0) && !a.is_done_with(1), "one owns, one is ready");
-    a.handle(s(100.0), &[list(vec![entry(0, Listed::Gone), entry(1, Listed::Gone)])]);
-    assert!(!a.is_done_with(0) && a.is_done_with(1), "the first still owns");
-    a.servers[1].learned_limit = Some(1.0);
-    let other = Ep { index: 1, stable: 77 };
-    let entry = Entry { ep: other, ..entry(1, Listed::Ready) };
-    a.handle(s(100.1), &[list(vec![entry])]);
-    assert_eq!(
-        (a.servers[1].endpoint, a.servers[1].learned_limit, a.servers[1].seen_serving),
-        (other, None, false)
-    );
-    assert!(a.rendezvous_order.iter().all(|order| order.len() == 3));
+    assert!(assigner.handle(secs(100.0), &[empty]).contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    assigner.handle(secs(100.5), &[ack(0, 1), ack(1, 1)]);
+    assert_eq!(grants(&assigner.handle(secs(103.0), &[Event::Timer])), []);
+    let server_back = Event::List { kind: ListKind::Full, entries: vec![list_entry(1, Listed::Ready)] };
+    assert_eq!(grants(&assigner.handle(secs(103.1), &[server_back])), [(0, 1)]);
 }
 
-/// At a planned restart a slice without an owner would wait a lease twice, at each assigner that takes it over.
+/// When all servers are replaced under new names, the state of the gone ones must not pile up.
 #[test]
-fn a_slice_given_without_an_owner_waits_for_answers_where_all_proxies_are_known() {
-    for (all, granted) in [(2, true), (3, false)] {
-        let mut a = fleet(2, &[(0, 1.0)]);
-        a.cfg.total_proxies = all;
-        assert!(a.handle(s(100.0), &[Event::Given { slice: 0 }]).contains(&Order::Mark { mark: 1 }));
-        a.handle(s(100.5), &[ack(0, 1)]);
-        assert_eq!(grants(&a.handle(s(101.9), &[Event::Timer])), [], "one has not answered");
-        assert_eq!(grants(&a.handle(s(102.0), &[ack(1, 1)])).len() == 1, granted, "of {all} proxies");
+fn index_of_gone_server_is_reused_once_it_owns_no_slice() {
+    let mut assigner = assigner_with(3, &[(0, 1.0)]);
+    assert!(
+        !assigner.is_done_with(0) && !assigner.is_done_with(1),
+        "server 0 owns a slice, server 1 is ready"
+    );
+    assigner
+        .handle(secs(100.0), &[list_changes(vec![list_entry(0, Listed::Gone), list_entry(1, Listed::Gone)])]);
+    assert!(!assigner.is_done_with(0) && assigner.is_done_with(1), "server 0 still owns a slice");
+    assigner.servers[1].learned_limit = Some(1.0);
+    let other_endpoint = Ep { index: 1, stable: 77 };
+    let entry = Entry { ep: other_endpoint, ..list_entry(1, Listed::Ready) };
+    assigner.handle(secs(100.1), &[list_changes(vec![entry])]);
+    assert_eq!(
+        (assigner.servers[1].endpoint, assigner.servers[1].learned_limit, assigner.servers[1].seen_serving),
+        (other_endpoint, None, false)
+    );
+    assert!(assigner.rendezvous_order.iter().all(|order| order.len() == 3));
+}
+
+/// In a planned restart of assigners, a slice without an owner must not wait for a write lease at each assigner that
+/// acquires it.
+#[test]
+fn slice_acquired_without_owner_is_granted_after_all_known_proxies_ack() {
+    for (total_proxies, granted) in [(2, true), (3, false)] {
+        let mut assigner = assigner_with(2, &[(0, 1.0)]);
+        assigner.cfg.total_proxies = total_proxies;
+        assert!(assigner
+            .handle(secs(100.0), &[Event::Given { slice: 0 }])
+            .contains(&Order::Mark { mark: 1 }));
+        assigner.handle(secs(100.5), &[ack(0, 1)]);
+        assert_eq!(
+            grants(&assigner.handle(secs(101.9), &[Event::Timer])),
+            [],
+            "one proxy has not acknowledged"
+        );
+        assert_eq!(
+            grants(&assigner.handle(secs(102.0), &[ack(1, 1)])).len() == 1,
+            granted,
+            "of {total_proxies} proxies"
+        );
     }
 }
 
 #[test]
-fn a_moves_take_over_needs_no_lease_where_all_proxies_answer() {
-    let mut a = fleet(2, &[(0, 1.0)]);
-    a.cfg.total_proxies = 2;
-    a.handle(s(100.0), &[Event::Given { slice: 0 }, Event::Stored { slice: 0, ep: ep(0) }]);
-    a.handle(s(100.1), &[list(vec![entry(0, Listed::Gone)])]);
-    assert_eq!(grants(&a.handle(s(101.0), &[ack(0, 1), ack(1, 1)])), []);
-    assert_eq!(grants(&a.handle(s(102.3), &[Event::Timer])), [(0, 1)]);
+fn move_of_acquired_slice_needs_no_lease_when_all_known_proxies_ack() {
+    let mut assigner = assigner_with(2, &[(0, 1.0)]);
+    assigner.cfg.total_proxies = 2;
+    assigner.handle(secs(100.0), &[Event::Given { slice: 0 }, Event::Stored { slice: 0, ep: endpoint(0) }]);
+    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)])]);
+    assert_eq!(grants(&assigner.handle(secs(101.0), &[ack(0, 1), ack(1, 1)])), []);
+    assert_eq!(grants(&assigner.handle(secs(102.3), &[Event::Timer])), [(0, 1)]);
 }
 
 #[test]
-fn after_a_restart_a_stored_owner_stays_and_its_move_waits_a_lease() {
-    let mut a = fleet(2, &[(0, 1.0)]);
-    a.handle(s(100.0), &[Event::Given { slice: 0 }, Event::Stored { slice: 0, ep: ep(0) }]);
-    a.handle(s(100.1), &[list(vec![entry(0, Listed::Gone)])]);
-    assert_eq!(grants(&a.handle(s(101.0), &[ack(0, 1), ack(1, 1)])), []);
-    assert_eq!(grants(&a.handle(s(105.1), &[Event::Timer])), []);
-    assert_eq!(grants(&a.handle(s(105.3), &[Event::Timer])), [(0, 1)]);
+fn move_of_acquired_slice_waits_for_lease_when_proxy_count_is_unknown() {
+    let mut assigner = assigner_with(2, &[(0, 1.0)]);
+    assigner.handle(secs(100.0), &[Event::Given { slice: 0 }, Event::Stored { slice: 0, ep: endpoint(0) }]);
+    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)])]);
+    assert_eq!(grants(&assigner.handle(secs(101.0), &[ack(0, 1), ack(1, 1)])), []);
+    assert_eq!(grants(&assigner.handle(secs(105.1), &[Event::Timer])), []);
+    assert_eq!(grants(&assigner.handle(secs(105.3), &[Event::Timer])), [(0, 1)]);
 }
 
 #[test]
-fn a_drain_stops_writes_first_and_reads_within_the_grace() {
-    let mut a = fleet(2, &[(0, 1.0)]);
-    let orders = a.handle(s(100.0), &[list(vec![entry(0, Listed::Draining)])]);
+fn drain_stops_writes_first_and_revokes_line_within_grace() {
+    let mut assigner = assigner_with(2, &[(0, 1.0)]);
+    let orders = assigner.handle(secs(100.0), &[list_changes(vec![list_entry(0, Listed::Draining)])]);
     assert!(orders.contains(&Order::Level { slice: 0, share: 0.0, methods: 2, tries: 0 }));
-    assert!(!orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }));
-    let orders = a.handle(s(100.9), &[Event::Timer]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }));
+    assert!(!orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    let orders = assigner.handle(secs(100.9), &[Event::Timer]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
 }
 
-/// A view in which a unit of demand is a unit of load, and every server offers all its room.
-fn plain_view(a: &Assigner) -> LoadSnapshot {
-    let demand = a.demand();
-    let loads = a.demand_by_server(&demand, |s| s.owner);
-    let rooms = loads.iter().map(|l| (HOT_LOAD - l).max(0.0)).collect();
-    let average = loads.iter().sum::<f64>() / loads.len() as f64;
+/// A snapshot in which a unit of demand is a unit of load and every server offers all its headroom.
+fn unit_load_snapshot(assigner: &Assigner) -> LoadSnapshot {
+    let demand = assigner.demand();
+    let loads = assigner.demand_by_server(&demand, |slice| slice.owner);
+    let headroom = loads.iter().map(|load| (HOT_LOAD - load).max(0.0)).collect();
+    let average_load = loads.iter().sum::<f64>() / loads.len() as f64;
     LoadSnapshot {
         own_loads: loads.clone(),
         load_per_demand: vec![1.0; loads.len()],
         loads,
-        headroom: rooms,
+        headroom,
         demand,
-        average_load: average,
+        average_load,
         ..LoadSnapshot::default()
     }
 }
 
 #[test]
-fn elimination_moves_the_least_demand_that_cools_the_hot_server() {
-    let a = fleet(3, &[(0, 0.5), (0, 0.3), (0, 0.2), (1, 0.3), (2, 0.3)]);
-    let moves = a.greedy_moves(&plain_view(&a), HOT_LOAD, false).unwrap();
-    assert_eq!(moves.iter().map(|m| m.0).collect::<Vec<_>>(), [2]);
+fn elimination_moves_least_demand_that_cools_hot_server() {
+    let assigner = assigner_with(3, &[(0, 0.5), (0, 0.3), (0, 0.2), (1, 0.3), (2, 0.3)]);
+    let moves = assigner.greedy_moves(&unit_load_snapshot(&assigner), HOT_LOAD, false).unwrap();
+    assert_eq!(moves.iter().map(|(slice, _)| *slice).collect::<Vec<_>>(), [2]);
 }
 
 #[test]
-fn skew_alone_moves_nothing_while_no_answers_wait() {
-    let mut a = fleet(3, &[(0, 0.9), (0, 0.9), (1, 0.3), (2, 0.3)]);
-    (0..2 * MIN_SKEWED_ROUNDS).for_each(|_| a.make_plan());
-    assert!(a.plan.pending_batches.is_empty());
-    met(&mut a, 0, 40, 0, 0.4);
-    a.servers[0].baseline_wait = Some(0.1);
-    (0..MIN_SKEWED_ROUNDS).for_each(|_| a.make_plan());
-    assert!(!a.plan.pending_batches.is_empty());
+fn skew_starts_no_moves_until_answers_queue() {
+    let mut assigner = assigner_with(3, &[(0, 0.9), (0, 0.9), (1, 0.3), (2, 0.3)]);
+    (0..2 * MIN_SKEWED_ROUNDS).for_each(|_| assigner.make_plan());
+    assert!(assigner.plan.pending_batches.is_empty());
+    report_tries(&mut assigner, 0, 40, 0, 0.4);
+    assigner.servers[0].baseline_wait = Some(0.1);
+    (0..MIN_SKEWED_ROUNDS).for_each(|_| assigner.make_plan());
+    assert!(!assigner.plan.pending_batches.is_empty());
 }
 
 #[test]
-fn leveling_finds_nothing_to_do_in_a_level_fleet() {
-    let a = fleet(3, &[(0, 0.3), (1, 0.3), (2, 0.3)]);
-    assert_eq!(a.greedy_moves(&plain_view(&a), 0.33, false), Some(vec![]));
+fn leveling_finds_no_moves_when_loads_are_equal() {
+    let assigner = assigner_with(3, &[(0, 0.3), (1, 0.3), (2, 0.3)]);
+    assert_eq!(assigner.greedy_moves(&unit_load_snapshot(&assigner), 0.33, false), Some(vec![]));
 }
 
 #[test]
-fn mitigation_cuts_overload_where_elimination_cannot() {
-    let a = fleet(2, &[(0, 0.55), (0, 0.55), (0, 0.5), (1, 0.2)]);
-    let view = plain_view(&a);
-    assert_eq!(a.greedy_moves(&view, HOT_LOAD, false), None);
-    let moves = a.greedy_moves(&view, HOT_LOAD, true).unwrap();
+fn mitigation_reduces_overload_when_elimination_fails() {
+    let assigner = assigner_with(2, &[(0, 0.55), (0, 0.55), (0, 0.5), (1, 0.2)]);
+    let snapshot = unit_load_snapshot(&assigner);
+    assert_eq!(assigner.greedy_moves(&snapshot, HOT_LOAD, false), None);
+    let moves = assigner.greedy_moves(&snapshot, HOT_LOAD, true).unwrap();
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0].1, 1);
 }
 
 #[test]
-fn a_destination_gets_no_more_than_its_room() {
-    let a = fleet(2, &[(0, 0.5), (0, 0.4), (1, 0.1)]);
-    let mut view = plain_view(&a);
-    view.headroom[1] = 0.35;
-    assert_eq!(a.greedy_moves(&view, HOT_LOAD, false), None);
+fn move_that_exceeds_destination_headroom_is_not_planned() {
+    let assigner = assigner_with(2, &[(0, 0.5), (0, 0.4), (1, 0.1)]);
+    let mut snapshot = unit_load_snapshot(&assigner);
+    snapshot.headroom[1] = 0.35;
+    assert_eq!(assigner.greedy_moves(&snapshot, HOT_LOAD, false), None);
 }
 
 #[test]
-fn batches_run_sinks_first_and_cycles_break_at_the_least_loaded() {
-    let a = fleet(3, &[(0, 0.5), (1, 0.3), (2, 0.1)]);
-    let view = plain_view(&a);
-    let batches = a.order_into_batches(vec![(0, 1), (1, 2)], &view);
+fn batches_start_at_sinks_and_cycles_break_at_least_loaded_server() {
+    let assigner = assigner_with(3, &[(0, 0.5), (1, 0.3), (2, 0.1)]);
+    let snapshot = unit_load_snapshot(&assigner);
+    let batches = assigner.order_into_batches(vec![(0, 1), (1, 2)], &snapshot);
     assert_eq!(batches, [vec![(1, 2)], vec![(0, 1)]]);
-    let batches = a.order_into_batches(vec![(0, 1), (1, 2), (2, 0)], &view);
+    let batches = assigner.order_into_batches(vec![(0, 1), (1, 2), (2, 0)], &snapshot);
     assert_eq!(batches[0], [(1, 2)]);
 }
 
 #[test]
-fn a_batch_waits_for_the_one_before() {
-    let mut a = fleet(3, &[(0, 0.5), (1, 0.3)]);
-    a.plan.pending_batches = [vec![(1, 2)], vec![(0, 1)]].into();
-    a.run_next_batch();
-    a.run_next_batch();
-    assert!(a.slices[1].handover.is_some() && a.slices[0].handover.is_none());
-    a.slices[1].handover = None;
-    a.run_next_batch();
-    assert!(a.slices[0].handover.is_some());
+fn batch_waits_until_previous_batch_is_done() {
+    let mut assigner = assigner_with(3, &[(0, 0.5), (1, 0.3)]);
+    assigner.plan.pending_batches = [vec![(1, 2)], vec![(0, 1)]].into();
+    assigner.run_next_batch();
+    assigner.run_next_batch();
+    assert!(assigner.slices[1].handover.is_some() && assigner.slices[0].handover.is_none());
+    assigner.slices[1].handover = None;
+    assigner.run_next_batch();
+    assert!(assigner.slices[0].handover.is_some());
 }
 
 #[test]
-fn a_stale_report_of_an_idle_server_attracts_nothing() {
-    let mut a = fleet(2, &[(0, 0.5), (1, 0.5)]);
-    a.servers[0].cpu = Some((0.5, a.now));
-    a.servers[1].cpu = Some((0.05, a.now));
-    assert!(a.load_snapshot().headroom[1] > 0.5);
-    a.servers[1].cpu = Some((0.05, s(90.0)));
-    assert!(a.load_snapshot().headroom[1] < 0.4);
+fn stale_report_of_idle_server_adds_no_headroom() {
+    let mut assigner = assigner_with(2, &[(0, 0.5), (1, 0.5)]);
+    assigner.servers[0].cpu = Some((0.5, assigner.now));
+    assigner.servers[1].cpu = Some((0.05, assigner.now));
+    assert!(assigner.load_snapshot().headroom[1] > 0.5);
+    assigner.servers[1].cpu = Some((0.05, secs(90.0)));
+    assert!(assigner.load_snapshot().headroom[1] < 0.4);
 }
 
 #[test]
-fn a_restarted_owner_is_let_no_more_than_its_cold_budget_at_once() {
-    let mut a = fleet(4, &[(0, 0.3), (0, 0.3), (0, 0.3), (1, 0.3), (2, 0.3), (3, 0.3)]);
-    let cold = Entry { started: Some(s(99.9)), ..entry(0, Listed::Ready) };
-    let orders = a.handle(s(100.0), &[list(vec![cold])]);
-    let shut = |id: SliceId| {
-        orders.iter().any(|o| match o {
+fn restarted_owner_is_limited_to_cold_budget_at_once() {
+    let mut assigner = assigner_with(4, &[(0, 0.3), (0, 0.3), (0, 0.3), (1, 0.3), (2, 0.3), (3, 0.3)]);
+    let cold = Entry { started: Some(secs(99.9)), ..list_entry(0, Listed::Ready) };
+    let orders = assigner.handle(secs(100.0), &[list_changes(vec![cold])]);
+    let is_limited = |id: SliceId| {
+        orders.iter().any(|order| match order {
             Order::Level { slice, share, .. } => *slice == id && *share < 1.0,
             Order::Revoke { slice, .. } => *slice == id,
             _ => false,
         })
     };
-    assert!((0..3).all(shut));
+    assert!((0..3).all(is_limited));
 }
 
 #[test]
-fn a_cold_owner_over_its_budget_hands_slices_on_at_once() {
-    let mut a = fleet(4, &[(0, 3.0), (0, 3.0), (1, 3.0), (2, 3.0), (3, 1.0)]);
-    a.servers[0].started_at = Some(s(99.9));
-    a.evacuate();
-    let moved = a.slices.iter().filter(|s| s.handover.as_ref().is_some_and(|h| h.revoked)).count();
-    assert!(moved > 0 && a.slices[2].handover.is_none());
+fn cold_owner_over_budget_starts_handovers_at_once() {
+    let mut assigner = assigner_with(4, &[(0, 3.0), (0, 3.0), (1, 3.0), (2, 3.0), (3, 1.0)]);
+    assigner.servers[0].started_at = Some(secs(99.9));
+    assigner.evacuate();
+    let revoked_slices = assigner
+        .slices
+        .iter()
+        .filter(|slice| slice.handover.as_ref().is_some_and(|handover| handover.revoked))
+        .count();
+    assert!(revoked_slices > 0 && assigner.slices[2].handover.is_none());
 }
 
 #[test]
-fn idle_slices_do_not_crowd_onto_a_cold_server() {
-    let mut a = fleet(2, &[(0, 0.0), (0, 0.0), (0, 0.0), (0, 0.0), (1, 4.0), (1, 4.0)]);
-    a.servers[0].started_at = Some(s(99.0));
-    assert_eq!(a.load_snapshot().headroom[0], 0.0);
+fn idle_slices_use_up_headroom_of_cold_server() {
+    let mut assigner = assigner_with(2, &[(0, 0.0), (0, 0.0), (0, 0.0), (0, 0.0), (1, 4.0), (1, 4.0)]);
+    assigner.servers[0].started_at = Some(secs(99.0));
+    assert_eq!(assigner.load_snapshot().headroom[0], 0.0);
 }
 
 #[test]
-fn no_batch_starts_while_the_channel_is_filled() {
-    let mut a = fleet(3, &[(0, 0.5), (1, 0.3)]);
-    a.plan.pending_batches = [vec![(1, 2)]].into();
-    a.channel.queued_lines = 3000.0;
-    a.run_next_batch();
-    assert!(a.slices[1].handover.is_none());
+fn batch_does_not_start_while_channel_is_half_full() {
+    let mut assigner = assigner_with(3, &[(0, 0.5), (1, 0.3)]);
+    assigner.plan.pending_batches = [vec![(1, 2)]].into();
+    assigner.channel.queued_lines = 3000.0;
+    assigner.run_next_batch();
+    assert!(assigner.slices[1].handover.is_none());
 }
 
 #[test]
-fn levels_wait_while_the_channel_is_filled_but_a_stop_does_not() {
-    let mut a = fleet(3, &[(0, 0.5), (1, 0.3)]);
-    a.channel.queued_lines = 3000.0;
-    a.servers[0].criticality_cutoff = 0.5;
-    a.start_handover(1, Some(2), false);
-    a.order_levels(true);
-    assert_eq!(a.output, [Order::Level { slice: 1, share: 0.0, methods: 2, tries: 0 }]);
+fn level_tuning_waits_for_channel_but_write_stop_does_not() {
+    let mut assigner = assigner_with(3, &[(0, 0.5), (1, 0.3)]);
+    assigner.channel.queued_lines = 3000.0;
+    assigner.servers[0].criticality_cutoff = 0.5;
+    assigner.start_handover(1, Some(2), false);
+    assigner.order_levels(true);
+    assert_eq!(assigner.output, [Order::Level { slice: 1, share: 0.0, methods: 2, tries: 0 }]);
 }
 
 #[test]
-fn tuning_waits_for_the_ack_of_the_last() {
-    let mut a = fleet(1, &[(0, 0.5)]);
-    a.servers[0].criticality_cutoff = 0.5;
-    a.order_levels(true);
-    a.finish_reply();
-    a.servers[0].criticality_cutoff = 0.2;
-    a.order_levels(true);
-    assert!(a.output.is_empty());
-    a.proxy_acked(0, 1, s(0.3));
-    a.order_levels(true);
-    assert_eq!(a.output, [Order::Level { slice: 0, share: 0.8, methods: 1, tries: 0 }]);
+fn level_tuning_waits_for_ack_of_previous_tuning() {
+    let mut assigner = assigner_with(1, &[(0, 0.5)]);
+    assigner.servers[0].criticality_cutoff = 0.5;
+    assigner.order_levels(true);
+    assigner.finish_reply();
+    assigner.servers[0].criticality_cutoff = 0.2;
+    assigner.order_levels(true);
+    assert!(assigner.output.is_empty());
+    assigner.proxy_acked(0, 1, secs(0.3));
+    assigner.order_levels(true);
+    assert_eq!(assigner.output, [Order::Level { slice: 0, share: 0.8, methods: 1, tries: 0 }]);
 }
 
-/// Gives a server `tries` of which `lost` failed, and waits of `wait` seconds for the others.
-pub(super) fn met(a: &mut Assigner, server: usize, tries: u64, lost: u64, wait: f64) {
+/// Reports `tries` at a server, of which `lost` failed and the others were answered after `wait` seconds.
+pub(super) fn report_tries(assigner: &mut Assigner, server: usize, tries: u64, lost: u64, wait: f64) {
     let load = LoadReport::default();
-    a.apply_event(&Event::Met { ep: ep(server), zone: 0, tries, lost, wait: s(wait), span: s(1.0), load });
+    assigner.apply_event(&Event::Met {
+        ep: endpoint(server),
+        zone: 0,
+        tries,
+        lost,
+        wait: secs(wait),
+        span: secs(1.0),
+        load,
+    });
 }
 
 #[test]
-fn a_server_that_aborts_is_sick_but_an_overloaded_one_is_not() {
-    let mut a = fleet(5, &[]);
-    (0..3).for_each(|i| met(&mut a, i, 40, 0, 0.1));
-    met(&mut a, 3, 40, 20, 0.1);
-    met(&mut a, 4, 40, 20, 0.45);
-    a.servers[4].baseline_wait = Some(0.1);
-    a.evaluate_servers();
-    assert!(a.servers[3].unhealthy_until.is_some());
-    assert!(a.servers[4].unhealthy_until.is_none());
+fn failing_server_becomes_unhealthy_but_overloaded_one_does_not() {
+    let mut assigner = assigner_with(5, &[]);
+    (0..3).for_each(|server| report_tries(&mut assigner, server, 40, 0, 0.1));
+    report_tries(&mut assigner, 3, 40, 20, 0.1);
+    report_tries(&mut assigner, 4, 40, 20, 0.45);
+    assigner.servers[4].baseline_wait = Some(0.1);
+    assigner.evaluate_servers();
+    assert!(assigner.servers[3].unhealthy_until.is_some());
+    assert!(assigner.servers[4].unhealthy_until.is_none());
 }
 
 #[test]
-fn no_more_than_half_of_the_servers_are_held_sick() {
-    let mut a = fleet(6, &[]);
-    (0..5).for_each(|i| met(&mut a, i, 40, 40, 0.1));
-    met(&mut a, 5, 4000, 0, 0.1);
-    a.evaluate_servers();
-    assert_eq!(a.servers.iter().filter(|s| s.unhealthy_until.is_some()).count(), 3);
+fn at_most_half_of_servers_are_marked_unhealthy() {
+    let mut assigner = assigner_with(6, &[]);
+    (0..5).for_each(|server| report_tries(&mut assigner, server, 40, 40, 0.1));
+    report_tries(&mut assigner, 5, 4000, 0, 0.1);
+    assigner.evaluate_servers();
+    assert_eq!(assigner.servers.iter().filter(|server| server.unhealthy_until.is_some()).count(), 3);
 }
 
 #[test]
-fn a_silent_owner_is_sick_only_if_its_peers_answer() {
-    let mut a = fleet(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
-    a.now = s(103.0);
-    a.evaluate_servers();
-    assert!(a.servers.iter().all(|s| s.unhealthy_until.is_none()));
-    (1..4).for_each(|i| met(&mut a, i, 20, 0, 0.1));
-    a.evaluate_servers();
-    assert!(a.servers[0].unhealthy_until.is_some());
+fn unresponsive_owner_becomes_unhealthy_only_if_peers_answer() {
+    let mut assigner = assigner_with(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
+    assigner.now = secs(103.0);
+    assigner.evaluate_servers();
+    assert!(assigner.servers.iter().all(|server| server.unhealthy_until.is_none()));
+    (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+    assigner.evaluate_servers();
+    assert!(assigner.servers[0].unhealthy_until.is_some());
 }
 
 #[test]
-fn a_cold_server_that_must_take_slices_is_let_no_more_than_its_budget() {
-    let mut a = fleet(2, &[(0, 20.0), (1, 20.0)]);
-    a.method_rpcs.iter_mut().for_each(|sum| sum.add(a.now, a.half_life, 30.0, a.half_life));
-    a.servers[0].started_at = Some(a.now);
-    a.set_criticality_cutoffs();
-    // It counts as at half its load, in a fifth of its capacity: 2.5 against its budget.
-    let over = 1.0 - a.unreported_cold_budget() / 2.5;
+fn cold_server_with_slices_is_limited_to_its_budget() {
+    let mut assigner = assigner_with(2, &[(0, 20.0), (1, 20.0)]);
+    assigner
+        .method_rpcs
+        .iter_mut()
+        .for_each(|sum| sum.add(assigner.now, assigner.half_life, 30.0, assigner.half_life));
+    assigner.servers[0].started_at = Some(assigner.now);
+    assigner.set_criticality_cutoffs();
+    // The server is assumed to be half loaded and has a fifth of its capacity: a load of 2.5, against its budget.
+    let rejected = 1.0 - assigner.unreported_cold_budget() / 2.5;
     assert!(
-        (a.servers[0].criticality_cutoff - 2.0 * over).abs() < 0.01,
+        (assigner.servers[0].criticality_cutoff - 2.0 * rejected).abs() < 0.01,
         "{}",
-        a.servers[0].criticality_cutoff
+        assigner.servers[0].criticality_cutoff
     );
-    assert_eq!(a.servers[1].criticality_cutoff, 0.0);
+    assert_eq!(assigner.servers[1].criticality_cutoff, 0.0);
 }
 
 #[test]
-fn where_nothing_is_learned_lost_tries_cut_what_a_cold_server_is_let() {
-    let shut_out = |lost: u64| {
-        let mut a = fleet(3, &[(0, 20.0), (1, 20.0), (2, 20.0)]);
-        a.servers[0].started_at = Some(s(95.0));
-        (1..3).for_each(|server| met(&mut a, server, 20, lost, 0.1));
-        a.set_criticality_cutoffs();
-        a.servers[0].rejected_fraction
+fn lost_tries_limit_cold_server_when_no_limit_is_learned() {
+    let rejected_fraction = |lost: u64| {
+        let mut assigner = assigner_with(3, &[(0, 20.0), (1, 20.0), (2, 20.0)]);
+        assigner.servers[0].started_at = Some(secs(95.0));
+        (1..3).for_each(|server| report_tries(&mut assigner, server, 20, lost, 0.1));
+        assigner.set_criticality_cutoffs();
+        assigner.servers[0].rejected_fraction
     };
-    assert!(shut_out(0) < 0.01, "{}", shut_out(0));
-    assert!(shut_out(12) > 0.3, "{}", shut_out(12));
+    assert!(rejected_fraction(0) < 0.01, "{}", rejected_fraction(0));
+    assert!(rejected_fraction(12) > 0.3, "{}", rejected_fraction(12));
 }
 
 #[test]
-fn servers_of_a_zone_whose_proxies_all_left_are_cut_off_not_sick() {
-    let mut a = fleet(3, &[(0, 1e5), (1, 1e5), (2, 1e5)]);
-    a.servers[0].zone = 1;
-    a.proxies.insert(2, Proxy { zone: 1, joined: false, state_since: s(100.0) });
-    for (at, sick) in [(110.0, false), (111.0, true)] {
-        a.now = s(at);
-        (1..3).for_each(|i| met(&mut a, i, 20, 0, 0.1));
-        a.evaluate_servers();
-        assert_eq!(a.servers[0].unhealthy_until.is_some(), sick);
+fn server_in_disconnected_zone_becomes_unhealthy_only_after_delay() {
+    let mut assigner = assigner_with(3, &[(0, 1e5), (1, 1e5), (2, 1e5)]);
+    assigner.servers[0].zone = 1;
+    assigner.proxies.insert(2, Proxy { zone: 1, joined: false, state_since: secs(100.0) });
+    for (at, unhealthy) in [(110.0, false), (111.0, true)] {
+        assigner.now = secs(at);
+        (1..3).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+        assigner.evaluate_servers();
+        assert_eq!(assigner.servers[0].unhealthy_until.is_some(), unhealthy);
     }
 }
 
-/// Reports came 0.55 s before the period's work each time, and failing servers kept their slices so much longer.
+/// When reports came 0.55 s before each periodic evaluation, failing servers kept their slices that much longer.
 #[test]
-fn servers_are_judged_as_reports_come_and_without_them_a_little_later() {
+fn servers_are_evaluated_when_reports_come_or_after_timeout() {
     let failing = Event::Met {
-        ep: ep(0),
+        ep: endpoint(0),
         zone: 0,
         tries: 20,
         lost: 20,
         wait: Duration::ZERO,
-        span: s(1.0),
+        span: secs(1.0),
         load: LoadReport::default(),
     };
-    let period = |a: &mut Assigner, at: f64, event: &Event| {
-        let before = a.next_period_at;
-        a.handle(s(at), std::slice::from_ref(event));
-        a.next_period_at != before
+    let runs_period = |assigner: &mut Assigner, at: f64, event: &Event| {
+        let before = assigner.next_period_at;
+        assigner.handle(secs(at), std::slice::from_ref(event));
+        assigner.next_period_at != before
     };
-    let mut a = fleet(3, &[(0, 300.0), (1, 300.0), (2, 300.0)]);
-    a.handle(s(101.0), &[Event::Timer]);
-    assert!(!period(&mut a, 101.7, &failing), "too soon after the last");
-    assert!(!period(&mut a, 102.0, &Event::Timer), "reports may come yet");
-    assert!(period(&mut a, 102.1, &failing) && a.servers[0].unhealthy_until.is_some());
-    // From then on they meet, though one comes a little early.
-    assert!(period(&mut a, 103.05, &failing));
-    assert!(!period(&mut a, 104.2, &Event::Timer) && period(&mut a, 104.4, &Event::Timer));
+    let mut assigner = assigner_with(3, &[(0, 300.0), (1, 300.0), (2, 300.0)]);
+    assigner.handle(secs(101.0), &[Event::Timer]);
+    assert!(!runs_period(&mut assigner, 101.7, &failing), "too soon after the last period");
+    assert!(!runs_period(&mut assigner, 102.0, &Event::Timer), "reports may still come");
+    assert!(runs_period(&mut assigner, 102.1, &failing) && assigner.servers[0].unhealthy_until.is_some());
+    // From then on the evaluation coincides with the reports, even if one comes slightly early.
+    assert!(runs_period(&mut assigner, 103.05, &failing));
+    assert!(
+        !runs_period(&mut assigner, 104.2, &Event::Timer) && runs_period(&mut assigner, 104.4, &Event::Timer)
+    );
 }
 
 #[test]
-fn a_gap_in_which_we_stood_still_makes_nobody_sick() {
-    let mut a = fleet(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
-    a.handle(s(100.0), &[Event::Timer]);
-    a.handle(s(108.0), &[Event::Timer]);
-    assert!(a.servers.iter().all(|s| s.unhealthy_until.is_none()));
+fn pause_of_assigner_makes_no_server_unhealthy() {
+    let mut assigner = assigner_with(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
+    assigner.handle(secs(100.0), &[Event::Timer]);
+    assigner.handle(secs(108.0), &[Event::Timer]);
+    assert!(assigner.servers.iter().all(|server| server.unhealthy_until.is_none()));
 }
 
 #[test]
-fn a_silent_owner_listed_ready_leaves_though_a_proxy_is_away_and_another_acks_late() {
-    let mut a = fleet(4, &[(0, 300.0), (1, 300.0), (2, 300.0), (3, 300.0)]);
-    a.handle(s(102.0), &[Event::Left { proxy: 1 }]);
-    a.now = s(103.3);
-    (1..4).for_each(|i| met(&mut a, i, 20, 0, 0.1));
-    let orders = a.handle(s(103.3), &[Event::Timer]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }));
-    // The absent proxy's lease ends at 106, the other's answer tells of 106.5, and writes settle in 1.2 s.
-    (1..4).for_each(|i| met(&mut a, i, 20, 0, 0.1));
-    a.handle(s(107.0), &[Event::Acked { proxy: 0, mark: 1, way: s(3.2) }]);
-    assert_eq!(grants(&a.handle(s(107.6), &[Event::Timer])), []);
-    assert_eq!(grants(&a.handle(s(107.8), &[Event::Timer])).len(), 1);
+fn unresponsive_owner_is_replaced_despite_absent_proxy_and_late_ack() {
+    let mut assigner = assigner_with(4, &[(0, 300.0), (1, 300.0), (2, 300.0), (3, 300.0)]);
+    assigner.handle(secs(102.0), &[Event::Left { proxy: 1 }]);
+    assigner.now = secs(103.3);
+    (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+    let orders = assigner.handle(secs(103.3), &[Event::Timer]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    // The lease of the absent proxy ends at 106 s, the stop took effect at the other one at 106.5 s, and writes in
+    // flight end within 1.2 s.
+    (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+    assigner.handle(secs(107.0), &[Event::Acked { proxy: 0, mark: 1, way: secs(3.2) }]);
+    assert_eq!(grants(&assigner.handle(secs(107.6), &[Event::Timer])), []);
+    assert_eq!(grants(&assigner.handle(secs(107.8), &[Event::Timer])).len(), 1);
 }
 
 #[test]
-fn an_overloaded_server_is_let_less_of_the_least_critical_method_first() {
-    let mut a = fleet(1, &[(0, 40.0)]);
-    a.method_rpcs.iter_mut().for_each(|sum| sum.add(a.now, a.half_life, 30.0, a.half_life));
-    met(&mut a, 0, 40, 0, 0.9);
-    a.evaluate_servers();
-    a.set_criticality_cutoffs();
-    a.order_levels(true);
-    // It did 40 in a half-life of 1 s: ln 2 * 40 = 27.7 a second; nine tenths are 25 of the 40 that come.
-    assert_eq!(a.output.pop(), Some(Order::Level { slice: 0, share: 0.25, methods: 1, tries: 0 }));
+fn overloaded_server_rejects_least_critical_method_first() {
+    let mut assigner = assigner_with(1, &[(0, 40.0)]);
+    assigner
+        .method_rpcs
+        .iter_mut()
+        .for_each(|sum| sum.add(assigner.now, assigner.half_life, 30.0, assigner.half_life));
+    report_tries(&mut assigner, 0, 40, 0, 0.9);
+    assigner.evaluate_servers();
+    assigner.set_criticality_cutoffs();
+    assigner.order_levels(true);
+    // The server answered 40 RPCs in a half-life of 1 s: ln 2 * 40 = 27.7 a second. Nine tenths of that are 25 of the 40
+    // that come.
+    assert_eq!(assigner.output.pop(), Some(Order::Level { slice: 0, share: 0.25, methods: 1, tries: 0 }));
 }
 
 #[test]
-fn a_failed_call_is_asked_again_later() {
-    let mut a = fleet(1, &[]);
+fn failed_list_request_is_retried_later() {
+    let mut assigner = assigner_with(1, &[]);
     let failed = Event::List { kind: ListKind::Failed, entries: vec![] };
-    assert!(!a.handle(s(100.0), &[failed]).contains(&Order::Watch));
-    assert!(a.handle(s(101.0), &[Event::Timer]).contains(&Order::Watch));
+    assert!(!assigner.handle(secs(100.0), &[failed]).contains(&Order::Watch));
+    assert!(assigner.handle(secs(101.0), &[Event::Timer]).contains(&Order::Watch));
 }
 
 #[test]
-fn the_same_events_give_the_same_orders() {
+fn same_events_give_same_orders() {
     let run = || {
-        let mut a = moving();
-        let mut orders = a.handle(s(100.4), &[ack(0, 1), ack(1, 1), list(vec![entry(2, Listed::Gone)])]);
-        orders.extend(a.handle(s(102.0), &[Event::Timer]));
+        let mut assigner = assigner_with_handover();
+        let mut orders = assigner
+            .handle(secs(100.4), &[ack(0, 1), ack(1, 1), list_changes(vec![list_entry(2, Listed::Gone)])]);
+        orders.extend(assigner.handle(secs(102.0), &[Event::Timer]));
         orders
     };
     assert_eq!(run(), run());
 }
 
 #[test]
-fn a_feed_that_lags_makes_nobody_sick_late_or_moved() {
+fn late_reports_mark_no_server_unhealthy_and_move_no_slice() {
     let owners: Vec<(usize, f64)> = (0..40).map(|id| (id % 8, 5.0)).collect();
-    let mut a = fleet(8, &owners);
-    // Each report covers four periods and comes when the next four have passed.
+    let mut assigner = assigner_with(8, &owners);
+    // Each report covers four periods and arrives after the next four.
     for round in 0..20u32 {
         let mut events = vec![Event::Timer];
         for id in (0..40).filter(|id| id % 4 == round as usize % 4) {
-            let (ep, span, wait) = (ep(id % 8), s(4.0), s(0.1));
+            let (ep, span, wait) = (endpoint(id % 8), secs(4.0), secs(0.1));
             events.push(Event::Demand { slice: id, method: 0, rpcs: 20, lost: 0, span });
             let load = LoadReport::default();
             events.push(Event::Met { ep, zone: 0, tries: 20, lost: 0, wait, span, load });
         }
-        let orders = a.handle(s(101.0 + f64::from(round)), &events);
-        let harmless = |o: &Order| matches!(o, Order::Wake { .. } | Order::Watch);
-        assert!(orders.iter().all(harmless), "{orders:?}");
+        let orders = assigner.handle(secs(101.0 + f64::from(round)), &events);
+        let is_expected = |order: &Order| matches!(order, Order::Wake { .. } | Order::Watch);
+        assert!(orders.iter().all(is_expected), "{orders:?}");
     }
-    assert_eq!(a.half_life, s(4.0));
-    assert!((a.demand()[0] - 5.0).abs() < 2.5, "{:?}", a.demand());
+    assert_eq!(assigner.half_life, secs(4.0));
+    assert!((assigner.demand()[0] - 5.0).abs() < 2.5, "{:?}", assigner.demand());
 }
 
 #[test]
-fn a_report_of_a_long_stretch_counts_as_spread_over_it() {
-    let (mut long, mut short, half) = (DecayingSum::default(), DecayingSum::default(), s(1.0));
-    long.add(s(100.0), half, 10.0, s(0.5));
-    short.add(s(100.0), half, 10.0, s(0.001));
-    let first = long.read(s(100.0), half);
-    assert!(first < short.read(s(100.0), half));
-    long.add(s(101.0), half, 0.0, half);
-    assert!((long.read(s(102.0), half) * 4.0 - first).abs() < 1e-9);
+fn report_counts_as_spread_over_its_interval() {
+    let (mut long, mut short, half_life) = (DecayingSum::default(), DecayingSum::default(), secs(1.0));
+    long.add(secs(100.0), half_life, 10.0, secs(0.5));
+    short.add(secs(100.0), half_life, 10.0, secs(0.001));
+    let first = long.read(secs(100.0), half_life);
+    assert!(first < short.read(secs(100.0), half_life));
+    long.add(secs(101.0), half_life, 0.0, half_life);
+    assert!((long.read(secs(102.0), half_life) * 4.0 - first).abs() < 1e-9);
 }
 
-/// Servers 0 to 3 own slices with demand; the list drops those named, in full or by changes.
-fn dropped(advice: bool, gone: &[usize], kind: ListKind) -> (Assigner, Vec<Order>) {
-    let mut a = fleet(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
-    a.cfg.gone_is_advisory = advice;
+/// An assigner whose servers 0 to 3 own slices with demand, and its orders after a list of the given kind removes the
+/// servers in `gone`.
+fn remove_from_list(is_advisory: bool, gone: &[usize], kind: ListKind) -> (Assigner, Vec<Order>) {
+    let mut assigner = assigner_with(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
+    assigner.cfg.gone_is_advisory = is_advisory;
     let entries = match kind {
-        ListKind::Changes => gone.iter().map(|i| entry(*i, Listed::Gone)).collect(),
-        _ => (0..4).filter(|i| !gone.contains(i)).map(|i| entry(i, Listed::Ready)).collect(),
+        ListKind::Changes => gone.iter().map(|server| list_entry(*server, Listed::Gone)).collect(),
+        _ => (0..4)
+            .filter(|server| !gone.contains(server))
+            .map(|server| list_entry(server, Listed::Ready))
+            .collect(),
     };
-    let orders = a.handle(s(100.0), &[Event::List { kind, entries }]);
-    (a, orders)
+    let orders = assigner.handle(secs(100.0), &[Event::List { kind, entries }]);
+    (assigner, orders)
 }
 
 #[test]
-fn where_gone_is_advice_a_dropped_server_that_serves_stays_and_a_silent_one_goes() {
+fn advisory_removal_keeps_serving_server_and_removes_unresponsive_one() {
     for kind in [ListKind::Changes, ListKind::Full] {
-        let (mut a, orders) = dropped(true, &[0, 1, 2], kind);
-        assert!(!orders.iter().any(|o| matches!(o, Order::Revoke { .. })));
-        a.now = s(103.0);
-        (1..4).for_each(|i| met(&mut a, i, 20, 0, 0.1));
-        a.evaluate_servers();
-        let listed: Vec<Listed> = a.servers.iter().map(|s| s.listed_status).collect();
-        assert_eq!(listed, [Listed::Gone, Listed::Ready, Listed::Ready, Listed::Ready]);
+        let (mut assigner, orders) = remove_from_list(true, &[0, 1, 2], kind);
+        assert!(!orders.iter().any(|order| matches!(order, Order::Revoke { .. })));
+        assigner.now = secs(103.0);
+        (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+        assigner.evaluate_servers();
+        let statuses: Vec<Listed> = assigner.servers.iter().map(|server| server.listed_status).collect();
+        assert_eq!(statuses, [Listed::Gone, Listed::Ready, Listed::Ready, Listed::Ready]);
     }
 }
 
 #[test]
-fn where_gone_binds_a_dropped_server_loses_its_slices_at_once() {
-    let (_, orders) = dropped(false, &[0], ListKind::Full);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }));
+fn binding_removal_revokes_slices_at_once() {
+    let (_, orders) = remove_from_list(false, &[0], ListKind::Full);
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
 }
 
 #[test]
-fn an_empty_list_and_one_of_only_unknown_servers_empty_no_table_that_serves() {
+fn empty_list_and_list_of_unknown_servers_revoke_nothing_when_removal_is_advisory() {
     for unknown in [None, Some(9)] {
-        let mut a = fleet(2, &[(0, 1.0), (1, 1.0)]);
-        a.cfg.gone_is_advisory = true;
-        let entries = unknown.map(|i| entry(i, Listed::Ready)).into_iter().collect();
-        let orders = a.handle(s(100.0), &[Event::List { kind: ListKind::Full, entries }]);
-        assert!(!orders.iter().any(|o| matches!(o, Order::Revoke { .. } | Order::Grant { .. })));
+        let mut assigner = assigner_with(2, &[(0, 1.0), (1, 1.0)]);
+        assigner.cfg.gone_is_advisory = true;
+        let entries = unknown.map(|server| list_entry(server, Listed::Ready)).into_iter().collect();
+        let orders = assigner.handle(secs(100.0), &[Event::List { kind: ListKind::Full, entries }]);
+        assert!(!orders.iter().any(|order| matches!(order, Order::Revoke { .. } | Order::Grant { .. })));
     }
 }
 
 #[test]
-fn a_server_never_seen_to_serve_gets_nothing_before_a_probe_is_answered_else_a_few_slices() {
-    let mut a = fleet(3, &[(0, 1.0), (0, 1.0), (0, 1.0), (0, 1.0), (1, 1.0)]);
-    (a.servers[2].seen_serving, a.cfg.may_probe) = (false, true);
-    assert_eq!(a.load_snapshot().headroom[2], 0.0);
-    a.apply_event(&Event::Probed { ep: ep(2), result: Probe::Ok, load: LoadReport::default() });
-    assert!(a.load_snapshot().headroom[2] > 0.0);
-    (a.servers[2].seen_serving, a.cfg.may_probe) = (false, false);
-    assert!(a.load_snapshot().headroom[2] > 0.0);
-    a.slices.iter_mut().take(MAX_UNCONFIRMED_SLICES as usize).for_each(|slice| slice.owner = Some(2));
-    assert_eq!(a.load_snapshot().headroom[2], 0.0);
+fn unconfirmed_server_gets_nothing_before_probe_answer_or_few_slices_without_probes() {
+    let mut assigner = assigner_with(3, &[(0, 1.0), (0, 1.0), (0, 1.0), (0, 1.0), (1, 1.0)]);
+    (assigner.servers[2].seen_serving, assigner.cfg.may_probe) = (false, true);
+    assert_eq!(assigner.load_snapshot().headroom[2], 0.0);
+    assigner.apply_event(&Event::Probed { ep: endpoint(2), result: Probe::Ok, load: LoadReport::default() });
+    assert!(assigner.load_snapshot().headroom[2] > 0.0);
+    (assigner.servers[2].seen_serving, assigner.cfg.may_probe) = (false, false);
+    assert!(assigner.load_snapshot().headroom[2] > 0.0);
+    assigner.slices.iter_mut().take(MAX_UNCONFIRMED_SLICES as usize).for_each(|slice| slice.owner = Some(2));
+    assert_eq!(assigner.load_snapshot().headroom[2], 0.0);
 }
 
 #[test]
-fn an_answered_mark_tells_that_what_went_before_has_left_the_channel() {
-    let mut a = moving();
-    a.channel.queued_lines = 5000.0;
-    a.channel.queued_messages = [(0, 4000.0, a.now), (1, 20.0, a.now)].into();
-    a.proxy_acked(0, 1, s(0.3));
-    assert_eq!(a.channel.queued_lines, 20.0);
+fn ack_removes_earlier_messages_from_channel_estimate() {
+    let mut assigner = assigner_with_handover();
+    assigner.channel.queued_lines = 5000.0;
+    assigner.channel.queued_messages = [(0, 4000.0, assigner.now), (1, 20.0, assigner.now)].into();
+    assigner.proxy_acked(0, 1, secs(0.3));
+    assert_eq!(assigner.channel.queued_lines, 20.0);
 }
 
 #[test]
-fn grants_that_the_channel_cannot_hold_wait_for_the_next_message() {
-    let mut a = fleet(2, &[(0, 0.1); 40]);
-    (0..40).for_each(|id| a.start_handover(id, Some(1), true));
-    a.slices.iter_mut().for_each(|slice| slice.handover.as_mut().unwrap().acks.clear());
-    (a.output, a.channel.reserved_orders) = (Vec::new(), 0);
-    (a.channel.queued_lines, a.cfg.max_backlog_lines) = (0.0, 200.0);
-    a.grant_settled_slices();
-    let first = grants(&a.output).len();
-    assert!(first > 0 && first < 40, "{first}");
+fn grants_beyond_channel_capacity_wait_for_next_message() {
+    let mut assigner = assigner_with(2, &[(0, 0.1); 40]);
+    (0..40).for_each(|id| assigner.start_handover(id, Some(1), true));
+    assigner.slices.iter_mut().for_each(|slice| slice.handover.as_mut().unwrap().acks.clear());
+    (assigner.output, assigner.channel.reserved_orders) = (Vec::new(), 0);
+    (assigner.channel.queued_lines, assigner.cfg.max_backlog_lines) = (0.0, 200.0);
+    assigner.grant_settled_slices();
+    let granted = grants(&assigner.output).len();
+    assert!(granted > 0 && granted < 40, "{granted}");
 }
 
 #[test]
-fn a_drain_of_more_slices_than_the_grace_has_time_for_takes_the_lines_away_at_once() {
-    let mut a = fleet(2, &[(0, 0.01); 700]);
-    let orders = a.handle(s(100.0), &[list(vec![entry(0, Listed::Draining)])]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }));
-    assert!(!orders.iter().any(|o| matches!(o, Order::Level { .. })));
+fn drain_of_too_many_slices_for_grace_revokes_lines_at_once() {
+    let mut assigner = assigner_with(2, &[(0, 0.01); 700]);
+    let orders = assigner.handle(secs(100.0), &[list_changes(vec![list_entry(0, Listed::Draining)])]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    assert!(!orders.iter().any(|order| matches!(order, Order::Level { .. })));
 }
 
 #[test]
-fn an_owner_taken_over_is_judged_afresh() {
-    let mut a = fleet(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
-    a.servers[0].last_ok_at = s(0.0);
-    a.servers[0].unhealthy_until = Some(s(300.0));
-    a.apply_event(&Event::Given { slice: 0 });
-    a.apply_event(&Event::Stored { slice: 0, ep: ep(0) });
-    a.evaluate_servers();
-    assert!(usable(&a.servers[0]));
+fn stored_owner_of_acquired_slice_is_evaluated_anew() {
+    let mut assigner = assigner_with(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
+    assigner.servers[0].last_ok_at = secs(0.0);
+    assigner.servers[0].unhealthy_until = Some(secs(300.0));
+    assigner.apply_event(&Event::Given { slice: 0 });
+    assigner.apply_event(&Event::Stored { slice: 0, ep: endpoint(0) });
+    assigner.evaluate_servers();
+    assert!(usable(&assigner.servers[0]));
 }
 
 #[test]
-fn a_server_slower_than_its_peers_is_hot_whatever_its_own_usual_time_but_not_in_a_release() {
-    let mut a = fleet(5, &[(0, 40.0), (1, 40.0), (2, 40.0), (3, 40.0), (4, 40.0)]);
-    a.servers.iter_mut().for_each(|server| server.service_time = Some(0.1));
-    a.servers[0].service_time = Some(1.0);
-    (0..5).for_each(|i| met(&mut a, i, 20, 0, if i == 0 { 1.2 } else { 0.12 }));
-    a.evaluate_servers();
-    let waits: Vec<bool> = a.servers.iter().map(|server| a.has_queueing(server)).collect();
-    assert_eq!(waits, [true, false, false, false, false]);
-    a.servers[4].started_at = Some(a.now);
-    a.evaluate_servers();
-    assert!(!a.has_queueing(&a.servers[0]));
+fn server_slower_than_peers_counts_as_queueing_except_during_release() {
+    let mut assigner = assigner_with(5, &[(0, 40.0), (1, 40.0), (2, 40.0), (3, 40.0), (4, 40.0)]);
+    assigner.servers.iter_mut().for_each(|server| server.service_time = Some(0.1));
+    assigner.servers[0].service_time = Some(1.0);
+    (0..5)
+        .for_each(|server| report_tries(&mut assigner, server, 20, 0, if server == 0 { 1.2 } else { 0.12 }));
+    assigner.evaluate_servers();
+    let queueing: Vec<bool> = assigner.servers.iter().map(|server| assigner.has_queueing(server)).collect();
+    assert_eq!(queueing, [true, false, false, false, false]);
+    assigner.servers[4].started_at = Some(assigner.now);
+    assigner.evaluate_servers();
+    assert!(!assigner.has_queueing(&assigner.servers[0]));
 }
 
 #[test]
-fn probes_and_log_lines_take_no_room_in_the_channel() {
-    let mut a = fleet(2, &[(0, 1.0)]);
-    let local = [Order::Probe { ep: ep(0) }, Order::Log { text: String::new() }, Order::Watch];
-    a.output = local.iter().cycle().take(3000).cloned().collect();
-    assert!(a.channel_is_below(PLAN_START_FILL));
-    a.output = vec![Order::Grant { slice: 0, ep: ep(0) }; 3000];
-    assert!(!a.channel_is_below(DRAIN_STOP_FILL));
+fn probes_logs_and_list_requests_use_no_channel_lines() {
+    let mut assigner = assigner_with(2, &[(0, 1.0)]);
+    let orders_without_lines =
+        [Order::Probe { ep: endpoint(0) }, Order::Log { text: String::new() }, Order::Watch];
+    assigner.output = orders_without_lines.iter().cycle().take(3000).cloned().collect();
+    assert!(assigner.channel_is_below(PLAN_START_FILL));
+    assigner.output = vec![Order::Grant { slice: 0, ep: endpoint(0) }; 3000];
+    assert!(!assigner.channel_is_below(DRAIN_STOP_FILL));
 }
 
-/// What a wish for slice 0 at server 1 comes to in the next plan.
-fn wished(mut a: Assigner) -> Option<Option<usize>> {
-    a.handle(s(100.0), &[Event::Wished { slice: 0, to: ep(1) }]);
-    a.handle(s(101.0), &[Event::Timer]);
-    assert!(a.plan.requested_moves.is_empty());
-    a.slices[0].handover.as_ref().map(|handover| handover.destination)
+/// Requests to move slice 0 to server 1; returns the destination of the handover that the next plan starts, if any.
+fn destination_after_request(mut assigner: Assigner) -> Option<Option<usize>> {
+    assigner.handle(secs(100.0), &[Event::Wished { slice: 0, to: endpoint(1) }]);
+    assigner.handle(secs(101.0), &[Event::Timer]);
+    assert!(assigner.plan.requested_moves.is_empty());
+    assigner.slices[0].handover.as_ref().map(|handover| handover.destination)
 }
 
 #[test]
-fn a_wish_is_a_move_of_the_next_plan_even_for_a_slice_that_would_stay() {
-    let mut a = fleet(3, &[(0, 0.2), (0, 0.8), (1, 1.0), (2, 1.0)]);
-    a.slices[0].movable_from = s(500.0);
-    assert_eq!(wished(a), Some(Some(1)));
+fn requested_move_is_planned_despite_move_cooldown() {
+    let mut assigner = assigner_with(3, &[(0, 0.2), (0, 0.8), (1, 1.0), (2, 1.0)]);
+    assigner.slices[0].movable_from = secs(500.0);
+    assert_eq!(destination_after_request(assigner), Some(Some(1)));
 }
 
 #[test]
-fn a_wish_without_room_or_for_a_server_that_is_not_well_is_let_go() {
-    let with = |act: &dyn Fn(&mut Assigner)| {
-        let mut a = fleet(3, &[(0, 0.2), (0, 0.8), (1, 1.0), (2, 1.0)]);
-        act(&mut a);
-        wished(a)
+fn requested_move_without_headroom_or_to_unusable_server_is_dropped() {
+    let outcome = |change: &dyn Fn(&mut Assigner)| {
+        let mut assigner = assigner_with(3, &[(0, 0.2), (0, 0.8), (1, 1.0), (2, 1.0)]);
+        change(&mut assigner);
+        destination_after_request(assigner)
     };
-    assert_eq!(with(&|a| a.servers[1].unhealthy_until = Some(s(500.0))), None);
-    assert_eq!(with(&|a| a.servers[1].listed_status = Listed::Draining), None);
-    assert_eq!(with(&|a| a.servers[1].seen_serving = false), None);
-    // It can do less than the slice brings.
-    let full = with(&|a| {
-        a.servers[1].learned_limit = Some(0.5);
-        a.servers[1].limit_reduced_at = Some(a.now);
+    assert_eq!(outcome(&|assigner| assigner.servers[1].unhealthy_until = Some(secs(500.0))), None);
+    assert_eq!(outcome(&|assigner| assigner.servers[1].listed_status = Listed::Draining), None);
+    assert_eq!(outcome(&|assigner| assigner.servers[1].seen_serving = false), None);
+    // The learned limit is below the demand of the slice.
+    let at_full_server = outcome(&|assigner| {
+        assigner.servers[1].learned_limit = Some(0.5);
+        assigner.servers[1].limit_reduced_at = Some(assigner.now);
     });
-    assert_eq!(full, None);
+    assert_eq!(at_full_server, None);
 }
 
-/// What proxies read of slices that are given to us does not pass through our channel: 878 came at once, and a mark
-/// ordered then was answered after 0.5 s, where their lines would have taken 4.8 s.
+/// The lines of newly acquired slices, which proxies read from the store, do not pass through the channel of this
+/// assigner. After it had acquired 878 slices at once, an ack came after 0.5 s; their lines would have taken 4.8 s.
 #[test]
-fn slices_given_leave_the_channel_as_it_was() {
-    let mut a = fleet(2, &[(0, 1.0); 4000]);
-    let given = (0..4000).flat_map(|slice| [Event::Given { slice }, Event::Stored { slice, ep: ep(0) }]);
-    let orders = a.handle(s(100.1), &given.collect::<Vec<_>>());
+fn acquired_slices_use_no_channel_lines() {
+    let mut assigner = assigner_with(2, &[(0, 1.0); 4000]);
+    let acquired =
+        (0..4000).flat_map(|slice| [Event::Given { slice }, Event::Stored { slice, ep: endpoint(0) }]);
+    let orders = assigner.handle(secs(100.1), &acquired.collect::<Vec<_>>());
     assert!(
-        a.channel_is_below(PLAN_START_FILL) && !orders.iter().any(Order::costs_a_line),
+        assigner.channel_is_below(PLAN_START_FILL) && !orders.iter().any(Order::costs_a_line),
         "{}",
-        a.channel_lines()
+        assigner.channel_lines()
     );
 }
 
-/// On a roll+mass day of another customer the channel ran eight times slower than stated: an answer that is
-/// overdue says so, long before the queue is full.
+/// A channel once ran eight times slower than its settings say. An overdue ack must raise the estimate of the queued
+/// lines long before the queue is full.
 #[test]
-fn an_overdue_answer_tells_of_a_channel_slower_than_reckoned() {
-    let mut a = fleet(2, &[(0, 1.0); 4]);
-    a.channel.last_ack_seq = 1;
-    a.channel.queued_messages = [(0, 2000.0, a.now), (1, 1500.0, a.now)].into();
-    (a.channel.queued_lines, a.channel.updated_at) = (3500.0, a.now);
-    a.handle(s(100.7), &[Event::Timer]);
-    assert!((a.channel_lines() - 2800.0).abs() < 1.0, "{}", a.channel_lines());
-    a.handle(s(100.9), &[Event::Timer]);
-    assert!((a.channel_lines() - 3450.0).abs() < 1.0, "{}", a.channel_lines());
-    a.handle(s(101.9), &[Event::Timer]);
-    assert!((a.channel_lines() - 3200.0).abs() < 1.0, "{}", a.channel_lines());
-    a.handle(s(102.0), &[Event::Acked { proxy: 1, mark: 1, way: s(1.9) }]);
-    assert!(a.channel_lines() <= 1500.0, "{}", a.channel_lines());
+fn overdue_ack_raises_estimate_of_queued_lines() {
+    let mut assigner = assigner_with(2, &[(0, 1.0); 4]);
+    assigner.channel.last_ack_seq = 1;
+    assigner.channel.queued_messages = [(0, 2000.0, assigner.now), (1, 1500.0, assigner.now)].into();
+    (assigner.channel.queued_lines, assigner.channel.updated_at) = (3500.0, assigner.now);
+    assigner.handle(secs(100.7), &[Event::Timer]);
+    assert!((assigner.channel_lines() - 2800.0).abs() < 1.0, "{}", assigner.channel_lines());
+    assigner.handle(secs(100.9), &[Event::Timer]);
+    assert!((assigner.channel_lines() - 3450.0).abs() < 1.0, "{}", assigner.channel_lines());
+    assigner.handle(secs(101.9), &[Event::Timer]);
+    assert!((assigner.channel_lines() - 3200.0).abs() < 1.0, "{}", assigner.channel_lines());
+    assigner.handle(secs(102.0), &[Event::Acked { proxy: 1, mark: 1, way: secs(1.9) }]);
+    assert!(assigner.channel_lines() <= 1500.0, "{}", assigner.channel_lines());
 }
 
-fn with_settings(pairs: &[(&str, &str)]) -> Assigner {
-    let mut a = fleet(3, &[(0, 1.0), (1, 1.0)]);
+/// An assigner with three servers and two slices, and with some settings changed.
+fn assigner_with_settings(pairs: &[(&str, &str)]) -> Assigner {
+    let mut assigner = assigner_with(3, &[(0, 1.0), (1, 1.0)]);
     let text = format!("{SETTINGS}2");
     let mut settings: BTreeMap<String, String> = text
         .split_whitespace()
-        .map(|p| p.split_once('=').unwrap())
-        .map(|(k, v)| (k.to_string(), v.to_string()))
+        .map(|pair| pair.split_once('=').unwrap())
+        .map(|(path, value)| (path.to_string(), value.to_string()))
         .collect();
-    settings.extend(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())));
-    a.cfg = Config::read(&Settings(settings)).unwrap();
-    a
+    settings.extend(pairs.iter().map(|(path, value)| (path.to_string(), value.to_string())));
+    assigner.cfg = Config::read(&Settings(settings)).unwrap();
+    assigner
 }
 
-fn drained(a: &mut Assigner) -> Vec<Order> {
-    let entry = Entry { ep: ep(0), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
-    a.handle(s(100.1), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }])
+/// Drains server 0 and returns the first orders.
+fn drain_server_0(assigner: &mut Assigner) -> Vec<Order> {
+    let entry = Entry { ep: endpoint(0), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
+    assigner.handle(secs(100.1), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }])
 }
 
-/// Where slices are not exclusive, a grant is one more line: the former owner's stayed, and when it drained
-/// nobody ended it. And nothing is to be waited for: the slice has an owner all the while.
+/// When slices are not exclusive, a grant adds a line and the line of the former owner must be revoked as well. A drain
+/// once left that line in place. The move need not wait for acks, as the slice always has an owner.
 #[test]
-fn without_exclusive_owners_a_drain_moves_at_once_and_leaves_no_line() {
-    let mut a = with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
-    let orders = drained(&mut a);
+fn drain_of_non_exclusive_slice_moves_it_at_once_and_revokes_old_line() {
+    let mut assigner =
+        assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
+    let orders = drain_server_0(&mut assigner);
     let Some((0, to)) = grants(&orders).first().copied() else { panic!("{orders:?}") };
-    assert!(to != 0 && orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }), "{orders:?}");
-    assert!(!orders.iter().any(|o| matches!(o, Order::Level { .. })), "{orders:?}");
-    assert_eq!((a.owner(0), a.moving(0)), (Some(to), false));
+    assert!(to != 0 && orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }), "{orders:?}");
+    assert!(!orders.iter().any(|order| matches!(order, Order::Level { .. })), "{orders:?}");
+    assert_eq!((assigner.owner(0), assigner.moving(0)), (Some(to), false));
 }
 
-/// A planned move leaves no line behind either, and stops no writes.
+/// A planned move must revoke the old line too, and does not stop writes.
 #[test]
-fn without_exclusive_owners_a_planned_move_leaves_no_line() {
-    let mut a = with_settings(&[("familyInfo.oneOwner", "0")]);
-    a.plan.pending_batches = [vec![(0, 2)]].into();
-    let orders = a.handle(s(100.1), &[Event::Timer]);
+fn planned_move_of_non_exclusive_slice_revokes_old_line_and_stops_no_writes() {
+    let mut assigner = assigner_with_settings(&[("familyInfo.oneOwner", "0")]);
+    assigner.plan.pending_batches = [vec![(0, 2)]].into();
+    let orders = assigner.handle(secs(100.1), &[Event::Timer]);
     assert_eq!(grants(&orders), [(0, 2)]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }), "{orders:?}");
-    assert!(!orders.iter().any(|o| matches!(o, Order::Level { share: 0.0, .. })), "{orders:?}");
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }), "{orders:?}");
+    assert!(!orders.iter().any(|order| matches!(order, Order::Level { share: 0.0, .. })), "{orders:?}");
 }
 
-/// A release with everything on one assigner: moves wait for room, and none goes out past it.
+/// In a release with all slices at one assigner, moves must wait for channel capacity.
 #[test]
-fn without_exclusive_owners_moves_stop_where_the_channel_is_full() {
-    let mut a = with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
-    a.slices = vec![a.slices[0].clone(); 2000];
-    a.rendezvous_order = vec![Vec::new(); 2000];
-    let first = drained(&mut a).len();
-    assert!((1000..1500).contains(&first), "{first}");
+fn moves_of_non_exclusive_slices_stop_when_channel_is_full() {
+    let mut assigner =
+        assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
+    assigner.slices = vec![assigner.slices[0].clone(); 2000];
+    assigner.rendezvous_order = vec![Vec::new(); 2000];
+    let first_orders = drain_server_0(&mut assigner).len();
+    assert!((1000..1500).contains(&first_orders), "{first_orders}");
     for tick in 2..20 {
-        a.handle(s(100.0 + 0.1 * f64::from(tick)), &[Event::Timer]);
-        assert!(a.channel_lines() < a.cfg.max_backlog_lines, "{}", a.channel_lines());
+        assigner.handle(secs(100.0 + 0.1 * f64::from(tick)), &[Event::Timer]);
+        assert!(assigner.channel_lines() < assigner.cfg.max_backlog_lines, "{}", assigner.channel_lines());
     }
 }
 
-/// Where levels are not followed, writes end only with the line.
+/// When proxies do not follow levels, only revoking the line stops writes.
 #[test]
-fn without_levels_an_exclusive_slice_is_cut_before_it_moves() {
-    let mut a = with_settings(&[("familyInfo.oneOwner", "1"), ("familyInfo.admission", "off")]);
-    a.start_handover(0, Some(2), false);
-    let orders = a.handle(s(100.1), &[Event::Timer]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: ep(0) }) && grants(&orders).is_empty());
+fn exclusive_slice_has_line_revoked_before_grant_when_admission_is_off() {
+    let mut assigner =
+        assigner_with_settings(&[("familyInfo.oneOwner", "1"), ("familyInfo.admission", "off")]);
+    assigner.start_handover(0, Some(2), false);
+    let orders = assigner.handle(secs(100.1), &[Event::Timer]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }) && grants(&orders).is_empty());
 }
 
-/// Where levels are rates, what was meant as all or nothing must not let one RPC a second in.
+/// When levels are rates, a share of 1.0 must not be sent as a rate of one RPC a second.
 #[test]
-fn where_levels_are_rates_all_is_far_more_than_one() {
-    let mut a = with_settings(&[("familyInfo.admission", "rate")]);
-    a.servers[0].learned_limit = Some(0.1);
-    a.start_handover(0, Some(2), false);
-    let orders = a.handle(s(100.1), &[Event::Timer]);
+fn full_admission_is_far_more_than_one_rpc_when_levels_are_rates() {
+    let mut assigner = assigner_with_settings(&[("familyInfo.admission", "rate")]);
+    assigner.servers[0].learned_limit = Some(0.1);
+    assigner.start_handover(0, Some(2), false);
+    let orders = assigner.handle(secs(100.1), &[Event::Timer]);
     let shares = |orders: &[Order]| -> Vec<f64> {
-        let share = |o: &Order| if let Order::Level { share, .. } = o { Some(*share) } else { None };
+        let share = |order: &Order| if let Order::Level { share, .. } = order { Some(*share) } else { None };
         orders.iter().filter_map(share).collect()
     };
     assert_eq!(shares(&orders), [0.0]);
-    let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark: 1, way: s(0.1) });
-    a.handle(s(100.3), &acks);
-    let orders = a.handle(s(102.0), &[Event::Timer]);
+    let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark: 1, way: secs(0.1) });
+    assigner.handle(secs(100.3), &acks);
+    let orders = assigner.handle(secs(102.0), &[Event::Timer]);
     assert_eq!((grants(&orders), shares(&orders)), (vec![(0, 2)], vec![ALL_LET_IN]));
 }
 
-/// A value that a rule rests on is never taken for absent when it cannot be read, and absent ones are the safe ones.
+/// An unreadable value must not count as absent, and an absent one must get the safe default.
 #[test]
-fn settings_of_other_customers_are_read_or_named() {
+fn unreadable_settings_are_named_and_absent_ones_get_safe_values() {
     let cfg = |pairs: &[(&str, &str)]| -> Result<Config, SettingsError> {
         let text = format!("{SETTINGS}2");
         let mut all: BTreeMap<String, String> = text
             .split_whitespace()
-            .map(|p| p.split_once('=').unwrap())
-            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .map(|pair| pair.split_once('=').unwrap())
+            .map(|(path, value)| (path.to_string(), value.to_string()))
             .collect();
         for (path, value) in pairs {
             match *value {
@@ -867,13 +927,14 @@
         }
         Config::read(&Settings(all))
     };
-    let safe = cfg(&[]).unwrap();
-    assert!(safe.exclusive && safe.fence_writes && safe.admission == Admission::Share);
-    let free = [("familyInfo.oneOwner", "0"), ("familyInfo.writeLease", ""), ("familyInfo.inFlightMax", "")];
-    let free = cfg(&free).unwrap();
-    assert!(!free.fence_writes && free.write_lease.is_zero());
-    let reads = cfg(&[("familyInfo.mutating", "0,0"), ("familyInfo.writeLease", "")]).unwrap();
-    assert!(reads.exclusive && !reads.fence_writes);
+    let defaults = cfg(&[]).unwrap();
+    assert!(defaults.exclusive && defaults.fence_writes && defaults.admission == Admission::Share);
+    let non_exclusive =
+        [("familyInfo.oneOwner", "0"), ("familyInfo.writeLease", ""), ("familyInfo.inFlightMax", "")];
+    let non_exclusive = cfg(&non_exclusive).unwrap();
+    assert!(!non_exclusive.fence_writes && non_exclusive.write_lease.is_zero());
+    let read_only = cfg(&[("familyInfo.mutating", "0,0"), ("familyInfo.writeLease", "")]).unwrap();
+    assert!(read_only.exclusive && !read_only.fence_writes);
     for (path, value) in [
         ("familyInfo.oneOwner", "maybe"),
         ("familyInfo.admission", "some"),
@@ -883,86 +944,100 @@
         ("rules.mustAskIn", "soon"),
         ("rules.goneIsAdvice", "7"),
     ] {
-        let error = cfg(&[(path, value)]).err().unwrap_or_else(|| panic!("{path}={value} was taken"));
+        let error = cfg(&[(path, value)]).err().unwrap_or_else(|| panic!("{path}={value} was accepted"));
         assert_eq!(error.path, path);
     }
 }
 
-/// With long heads against a short backlog drains went out a few slices a message, and half the channel was heads:
-/// a drain ended 3.84 s after it was told, where 3.8 s are allowed.
+/// With a large message overhead and a small backlog, drains were sent a few slices a message and half the channel was
+/// overhead: a drain ended 3.84 s after the list update, where 3.8 s are allowed.
 #[test]
-fn a_drain_waits_for_room_that_several_heads_fit() {
-    for (filled, goes) in [(0.45, true), (0.65, false)] {
-        let mut a = with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.overhead", "260")]);
-        (a.channel.queued_lines, a.channel.updated_at) = (filled * a.cfg.max_backlog_lines, s(100.1));
-        assert_eq!(drained(&mut a).iter().any(Order::costs_a_line), goes, "filled {filled}");
+fn drain_waits_until_several_message_overheads_fit_channel() {
+    for (fill, starts) in [(0.45, true), (0.65, false)] {
+        let mut assigner =
+            assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.overhead", "260")]);
+        (assigner.channel.queued_lines, assigner.channel.updated_at) =
+            (fill * assigner.cfg.max_backlog_lines, secs(100.1));
+        assert_eq!(drain_server_0(&mut assigner).iter().any(Order::costs_a_line), starts, "fill {fill}");
     }
 }
 
-/// Two release steps' slices on one assigner are more than the channel carries in the grace if each takes a grant
-/// and an end: in time, what is left ends first, and the grants follow.
+/// The slices of two release steps at one assigner, with a grant and a revoke each, are more than the channel carries
+/// in the drain grace. Late in the grace, the remaining lines must be revoked first and granted afterwards.
 #[test]
-fn without_exclusive_owners_a_late_drain_ends_its_line_first() {
-    let mut a = with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
-    a.slices = vec![a.slices[0].clone(); 1000];
-    a.rendezvous_order = vec![Vec::new(); 1000];
-    let first = drained(&mut a);
+fn late_drain_of_non_exclusive_slices_revokes_before_it_grants() {
+    let mut assigner =
+        assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
+    assigner.slices = vec![assigner.slices[0].clone(); 1000];
+    assigner.rendezvous_order = vec![Vec::new(); 1000];
+    let first = drain_server_0(&mut assigner);
     assert!(!grants(&first).is_empty());
-    let ends = |orders: &[Order]| orders.iter().filter(|o| matches!(o, Order::Revoke { .. })).count();
-    let marks = a.channel.last_ack_seq as u16;
-    let later = a.handle(s(101.9), &[Event::Acked { proxy: 0, mark: marks, way: s(0.1) }]);
-    assert!(ends(&later) > 100 && grants(&later).is_empty(), "{} {}", ends(&later), grants(&later).len());
-    // Nothing is awaited: they are granted as soon as there is room.
-    let orders =
-        a.handle(s(110.0), &[Event::Acked { proxy: 0, mark: a.channel.last_ack_seq as u16, way: s(0.1) }]);
-    assert!(!grants(&orders).is_empty() && ends(&orders) == 0);
-}
-
-/// On a soak of another customer a call of 3275 lines was carried out, its answer was lost, and it was sent again at
-/// once: 6550 lines waited where 5800 may.
-#[test]
-fn a_call_sent_again_waits_until_both_fit_the_channel() {
-    let mut a = fleet(2, &[(0, 1.0); 4]);
-    (a.channel.queued_lines, a.channel.updated_at) = (3300.0, s(100.0));
-    assert!(!a.may_send_again(1642) && a.may_send_again(1000));
-    a.handle(s(101.0), &[Event::Timer]);
-    assert!(a.may_send_again(1500) && !a.may_send_again(1642), "{}", a.channel_lines());
-    let before = a.channel_lines();
-    a.sent_again(s(101.0), 100);
-    assert_eq!(a.channel_lines() - before, 216.0);
-}
-
-/// On a soak with 44 lines a proxy and a head of 12, four heads fit nowhere: a drain waited for an empty queue and
-/// ended 3.33 s after it was told, where 3.3 s are allowed.
-#[test]
-fn a_drain_on_a_narrow_channel_does_not_wait_for_an_empty_queue() {
-    for (filled, goes) in [(0.3, true), (0.6, false)] {
-        let mut a = with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.overhead", "750")]);
-        let first = drained(&mut a);
+    let revokes =
+        |orders: &[Order]| orders.iter().filter(|order| matches!(order, Order::Revoke { .. })).count();
+    let mark = assigner.channel.last_ack_seq as u16;
+    let later = assigner.handle(secs(101.9), &[Event::Acked { proxy: 0, mark, way: secs(0.1) }]);
+    assert!(
+        revokes(&later) > 100 && grants(&later).is_empty(),
+        "{} {}",
+        revokes(&later),
+        grants(&later).len()
+    );
+    // No acks are awaited, so the slices are granted as soon as the channel has capacity.
+    let orders = assigner.handle(
+        secs(110.0),
+        &[Event::Acked { proxy: 0, mark: assigner.channel.last_ack_seq as u16, way: secs(0.1) }],
+    );
+    assert!(!grants(&orders).is_empty() && revokes(&orders) == 0);
+}
+
+/// In a soak run, a call of 3275 lines was carried out, its answer was lost, and it was resent at once: 6550 lines were
+/// queued, where 5800 are allowed.
+#[test]
+fn resent_call_waits_until_both_copies_fit_channel() {
+    let mut assigner = assigner_with(2, &[(0, 1.0); 4]);
+    (assigner.channel.queued_lines, assigner.channel.updated_at) = (3300.0, secs(100.0));
+    assert!(!assigner.may_send_again(1642) && assigner.may_send_again(1000));
+    assigner.handle(secs(101.0), &[Event::Timer]);
+    assert!(assigner.may_send_again(1500) && !assigner.may_send_again(1642), "{}", assigner.channel_lines());
+    let before = assigner.channel_lines();
+    assigner.sent_again(secs(101.0), 100);
+    assert_eq!(assigner.channel_lines() - before, 216.0);
+}
+
+/// In a soak run with a backlog of 44 lines a proxy and a message overhead of 12, the overhead of four messages never
+/// fitted. A drain waited for an empty queue and ended 3.33 s after the list update, where 3.3 s are allowed.
+#[test]
+fn drain_on_narrow_channel_does_not_wait_for_empty_queue() {
+    for (fill, starts) in [(0.3, true), (0.6, false)] {
+        let mut assigner =
+            assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.overhead", "750")]);
+        let first = drain_server_0(&mut assigner);
         assert!(first.iter().any(Order::costs_a_line));
-        a.servers[1].listed_status = Listed::Draining;
-        a.servers[1].not_ready_since = s(100.1);
-        (a.channel.queued_lines, a.channel.updated_at) = (filled * a.cfg.max_backlog_lines, s(100.2));
-        a.channel.queued_messages.clear();
-        let orders = a.handle(s(100.2), &[Event::Timer]);
-        assert_eq!(orders.iter().any(|o| matches!(o, Order::Revoke { .. })), goes, "filled {filled}");
+        assigner.servers[1].listed_status = Listed::Draining;
+        assigner.servers[1].not_ready_since = secs(100.1);
+        (assigner.channel.queued_lines, assigner.channel.updated_at) =
+            (fill * assigner.cfg.max_backlog_lines, secs(100.2));
+        assigner.channel.queued_messages.clear();
+        let orders = assigner.handle(secs(100.2), &[Event::Timer]);
+        assert_eq!(orders.iter().any(|order| matches!(order, Order::Revoke { .. })), starts, "fill {fill}");
     }
 }
 
-/// Where marks are rare, messages that left long ago must neither pile up nor count when an answer is overdue.
+/// When acks are rarely requested, messages that left long ago must neither pile up nor count when an ack is overdue.
 #[test]
-fn messages_that_have_left_are_forgotten_though_no_mark_follows() {
-    let mut a = with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
+fn transmitted_messages_are_forgotten_without_later_acks() {
+    let mut assigner =
+        assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
     for minute in 1..200 {
         let to = 1 + minute as usize % 2;
-        a.plan.pending_batches = [vec![(0, to)]].into();
-        a.slices[0].movable_from = Duration::ZERO;
-        a.handle(s(100.0 + 60.0 * f64::from(minute)), &[Event::Timer]);
+        assigner.plan.pending_batches = [vec![(0, to)]].into();
+        assigner.slices[0].movable_from = Duration::ZERO;
+        assigner.handle(secs(100.0 + 60.0 * f64::from(minute)), &[Event::Timer]);
     }
     assert!(
-        a.channel.queued_messages.len() <= 2,
+        assigner.channel.queued_messages.len() <= 2,
         "{} messages, {:.0} lines",
-        a.channel.queued_messages.len(),
-        a.channel.unacked_lines()
+        assigner.channel.queued_messages.len(),
+        assigner.channel.unacked_lines()
     );
 }
