--- a/crates/whinhill/src/assigner/health/tests.rs
+++ b/crates/whinhill/src/assigner/health/tests.rs
@@ -1,35 +1,36 @@
-//! Silence of servers: from the probe that is missed to what proxies are told.
+//! Unresponsive servers: from the missed probe to the levels and lines that are published to proxies.
 
 use std::collections::BTreeSet;
 
-use super::super::tests::{ep, fleet, met, s};
+use super::super::tests::{assigner_with, endpoint, report_tries, secs};
 use super::*;
 
-/// Reports of a server's probe, at a time.
-fn probed(a: &mut Assigner, at: f64, server: usize, result: Probe) -> Vec<Order> {
-    a.handle(s(at), &[Event::Probed { ep: ep(server), result, load: LoadReport::default() }])
+/// Delivers the result of a probe of a server at a time in seconds; returns the orders.
+fn deliver_probe_result(assigner: &mut Assigner, at: f64, server: usize, result: Probe) -> Vec<Order> {
+    assigner.handle(secs(at), &[Event::Probed { ep: endpoint(server), result, load: LoadReport::default() }])
 }
 
-/// A server misses probes, and nothing is told of ok answers for a period.
-fn fall_silent(a: &mut Assigner, server: usize) {
-    let since = a.now.as_secs_f64() + 0.1;
-    probed(a, since, server, Probe::Unanswered);
-    probed(a, since + 0.3, server, Probe::Unanswered);
-    a.now += HALF_OPEN_DELAY + a.half_life * (REPORT_LAG_INTERVALS + 1);
-    a.evaluate_health();
+/// Lets a server miss two probes and have no ok answers reported until that is conclusive.
+fn make_unresponsive(assigner: &mut Assigner, server: usize) {
+    let since = assigner.now.as_secs_f64() + 0.1;
+    deliver_probe_result(assigner, since, server, Probe::Unanswered);
+    deliver_probe_result(assigner, since + 0.3, server, Probe::Unanswered);
+    assigner.now += HALF_OPEN_DELAY + assigner.half_life * (REPORT_LAG_INTERVALS + 1);
+    assigner.evaluate_health();
 }
 
-/// Servers with a slice each that may be probed, in the middle of a period.
-fn probed_fleet(servers: usize) -> Assigner {
+/// An assigner that may probe, with one slice for each server, in the middle of a period.
+fn assigner_with_probing(servers: usize) -> Assigner {
     let owners: Vec<(usize, f64)> = (0..servers).map(|server| (server, 10.0)).collect();
-    let mut a = fleet(servers, &owners);
-    a.cfg.may_probe = true;
-    a.next_probes_at = s(100.5);
-    a.now = s(100.0);
-    a
+    let mut assigner = assigner_with(servers, &owners);
+    assigner.cfg.may_probe = true;
+    assigner.next_probes_at = secs(100.5);
+    assigner.now = secs(100.0);
+    assigner
 }
 
-fn shares(orders: &[Order]) -> Vec<(SliceId, f64, MethodMask)> {
+/// The slices, shares and methods of the levels among some orders.
+fn ordered_levels(orders: &[Order]) -> Vec<(SliceId, f64, MethodMask)> {
     let level = |order: &Order| match order {
         Order::Level { slice, share, methods, .. } => Some((*slice, *share, *methods)),
         _ => None,
@@ -37,123 +38,125 @@
     orders.iter().filter_map(level).collect()
 }
 
-fn is_probed(orders: &[Order], server: usize) -> bool {
-    orders.contains(&Order::Probe { ep: ep(server) })
+fn orders_probe(orders: &[Order], server: usize) -> bool {
+    orders.contains(&Order::Probe { ep: endpoint(server) })
 }
 
-fn loses_line(orders: &[Order], slice: SliceId, server: usize) -> bool {
-    orders.contains(&Order::Revoke { slice, ep: ep(server) })
+fn revokes_line(orders: &[Order], slice: SliceId, server: usize) -> bool {
+    orders.contains(&Order::Revoke { slice, ep: endpoint(server) })
 }
 
 #[test]
-fn a_server_that_misses_a_probe_is_shut_out_and_asked_again_at_once() {
-    let mut a = probed_fleet(4);
-    let orders = probed(&mut a, 100.1, 0, Probe::Unanswered);
-    assert!(is_probed(&orders, 0));
-    // One line for all methods.
-    assert_eq!(shares(&orders), [(0, 0.0, 0b11)]);
-    assert!(!loses_line(&orders, 0, 0));
-    let orders = probed(&mut a, 100.2, 0, Probe::Ok);
-    assert_eq!(shares(&orders), [(0, 1.0, 0b11)]);
-    assert_eq!(a.servers[0].unhealthy_until, None);
+fn server_that_misses_probe_is_rejected_and_probed_again_at_once() {
+    let mut assigner = assigner_with_probing(4);
+    let orders = deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    assert!(orders_probe(&orders, 0));
+    // One order for all methods.
+    assert_eq!(ordered_levels(&orders), [(0, 0.0, 0b11)]);
+    assert!(!revokes_line(&orders, 0, 0));
+    let orders = deliver_probe_result(&mut assigner, 100.2, 0, Probe::Ok);
+    assert_eq!(ordered_levels(&orders), [(0, 1.0, 0b11)]);
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
 
 #[test]
-fn a_suspected_server_loses_its_slices_once_no_ok_answers_are_told_of() {
-    let mut a = probed_fleet(4);
-    fall_silent(&mut a, 0);
-    assert!(a.servers[0].unhealthy_until.is_some());
-    let at = a.now;
-    assert!(loses_line(&a.handle(at, &[Event::Timer]), 0, 0));
+fn suspected_server_loses_slices_once_no_ok_answers_are_reported() {
+    let mut assigner = assigner_with_probing(4);
+    make_unresponsive(&mut assigner, 0);
+    assert!(assigner.servers[0].unhealthy_until.is_some());
+    let at = assigner.now;
+    assert!(revokes_line(&assigner.handle(at, &[Event::Timer]), 0, 0));
 }
 
 #[test]
-fn a_server_that_serves_and_answers_no_probe_keeps_its_slices() {
-    let mut a = probed_fleet(4);
+fn server_that_answers_rpcs_but_no_probes_keeps_slices() {
+    let mut assigner = assigner_with_probing(4);
     for at in [100.1, 101.0, 102.0, 103.0] {
-        a.now = s(at);
-        met(&mut a, 0, 20, 0, 0.1);
-        probed(&mut a, at, 0, Probe::Unanswered);
-        assert!(a.slices[0].rejects_all);
+        assigner.now = secs(at);
+        report_tries(&mut assigner, 0, 20, 0, 0.1);
+        deliver_probe_result(&mut assigner, at, 0, Probe::Unanswered);
+        assert!(assigner.slices[0].rejects_all);
     }
-    // What is told of now was answered after the first missed probe.
-    a.now = s(103.2);
-    met(&mut a, 0, 20, 0, 0.1);
-    probed(&mut a, 103.2, 0, Probe::Unanswered);
-    assert!(!a.slices[0].rejects_all);
-    assert_eq!(a.servers[0].unhealthy_until, None);
+    // The RPCs of this report were answered after the first missed probe.
+    assigner.now = secs(103.2);
+    report_tries(&mut assigner, 0, 20, 0, 0.1);
+    deliver_probe_result(&mut assigner, 103.2, 0, Probe::Unanswered);
+    assert!(!assigner.slices[0].rejects_all);
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
 
 #[test]
-fn no_slice_goes_to_a_suspected_server() {
-    let mut a = probed_fleet(3);
-    probed(&mut a, 100.1, 1, Probe::Unanswered);
-    assert_eq!(a.load_snapshot().headroom[1], 0.0);
+fn suspected_server_has_no_headroom() {
+    let mut assigner = assigner_with_probing(3);
+    deliver_probe_result(&mut assigner, 100.1, 1, Probe::Unanswered);
+    assert_eq!(assigner.load_snapshot().headroom[1], 0.0);
 }
 
 #[test]
-fn a_probe_that_waits_behind_rpcs_is_no_silence() {
-    let mut a = probed_fleet(4);
-    a.servers[0].baseline_wait = Some(0.1);
-    met(&mut a, 0, 20, 0, 0.6);
-    a.evaluate_servers();
-    let orders = probed(&mut a, 100.1, 0, Probe::Unanswered);
-    assert_eq!(shares(&orders), []);
-    probed(&mut a, 100.4, 0, Probe::Unanswered);
-    assert_eq!(a.servers[0].unhealthy_until, None);
+fn probe_queued_behind_rpcs_does_not_count_as_unresponsive() {
+    let mut assigner = assigner_with_probing(4);
+    assigner.servers[0].baseline_wait = Some(0.1);
+    report_tries(&mut assigner, 0, 20, 0, 0.6);
+    assigner.evaluate_servers();
+    let orders = deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    assert_eq!(ordered_levels(&orders), []);
+    deliver_probe_result(&mut assigner, 100.4, 0, Probe::Unanswered);
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_shut_out_first_and_its_slices_stay() {
-    let mut a = probed_fleet(4);
-    (0..2).for_each(|server| a.servers[server].zone = 1);
+fn unresponsive_zone_is_rejected_before_its_servers_become_unhealthy() {
+    let mut assigner = assigner_with_probing(4);
+    (0..2).for_each(|server| assigner.servers[server].zone = 1);
     for at in [100.1, 100.4] {
-        (0..2).for_each(|server| drop(probed(&mut a, at, server, Probe::Unanswered)));
+        (0..2).for_each(|server| drop(deliver_probe_result(&mut assigner, at, server, Probe::Unanswered)));
     }
-    assert!(a.slices[..2].iter().all(|slice| slice.rejects_all && slice.handover.is_none()));
-    // Its proxies stay: then it is the servers.
-    a.now = s(100.1) + HALF_OPEN_DELAY + a.half_life * REPORT_LAG_INTERVALS;
-    (2..4).for_each(|server| met(&mut a, server, 20, 0, 0.1));
-    a.evaluate_health();
-    assert!(a.servers[..2].iter().all(|server| server.unhealthy_until.is_some()));
-    assert!(a.servers[2..].iter().all(|server| server.unhealthy_until.is_none()));
+    assert!(assigner.slices[..2].iter().all(|slice| slice.rejects_all && slice.handover.is_none()));
+    // The zone's proxies stay connected, so the servers themselves have failed.
+    assigner.now = secs(100.1) + HALF_OPEN_DELAY + assigner.half_life * REPORT_LAG_INTERVALS;
+    (2..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+    assigner.evaluate_health();
+    assert!(assigner.servers[..2].iter().all(|server| server.unhealthy_until.is_some()));
+    assert!(assigner.servers[2..].iter().all(|server| server.unhealthy_until.is_none()));
 }
 
 #[test]
-fn a_server_that_served_all_along_comes_back_and_its_probes_count_no_more() {
-    let mut a = probed_fleet(4);
-    fall_silent(&mut a, 0);
-    assert!(a.servers[0].unhealthy_until.is_some());
-    // Late reports tell that what was sent until its line ended was answered.
-    met(&mut a, 0, 40, 0, 0.1);
-    a.now += PROBE_UNHEALTHY_DURATION + UNHEALTHY_DURATION;
-    a.evaluate_health();
-    assert_eq!(a.servers[0].unhealthy_until, None);
-    let at = a.now.as_secs_f64();
-    (1..4).for_each(|i| drop(probed(&mut a, at + f64::from(i) * 0.1, 0, Probe::Unanswered)));
-    assert_eq!(a.servers[0].unhealthy_until, None);
-    assert!(!a.servers[0].suspected);
+fn server_that_served_while_unhealthy_is_readmitted_and_its_probes_are_ignored() {
+    let mut assigner = assigner_with_probing(4);
+    make_unresponsive(&mut assigner, 0);
+    assert!(assigner.servers[0].unhealthy_until.is_some());
+    // Late reports show that the RPCs sent before its line was revoked were answered.
+    report_tries(&mut assigner, 0, 40, 0, 0.1);
+    assigner.now += PROBE_UNHEALTHY_DURATION + UNHEALTHY_DURATION;
+    assigner.evaluate_health();
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
+    let at = assigner.now.as_secs_f64();
+    (1..4).for_each(|step| {
+        drop(deliver_probe_result(&mut assigner, at + f64::from(step) * 0.1, 0, Probe::Unanswered))
+    });
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
+    assert!(!assigner.servers[0].suspected);
 }
 
 #[test]
-fn a_server_that_lost_what_was_sent_stays_away_until_it_answers() {
-    let mut a = probed_fleet(4);
-    fall_silent(&mut a, 0);
-    met(&mut a, 0, 40, 20, 0.1);
-    a.now += PROBE_UNHEALTHY_DURATION + UNHEALTHY_DURATION;
-    a.evaluate_health();
-    assert!(a.servers[0].unhealthy_until.is_some());
+fn server_that_lost_tries_stays_unhealthy_until_it_answers() {
+    let mut assigner = assigner_with_probing(4);
+    make_unresponsive(&mut assigner, 0);
+    report_tries(&mut assigner, 0, 40, 20, 0.1);
+    assigner.now += PROBE_UNHEALTHY_DURATION + UNHEALTHY_DURATION;
+    assigner.evaluate_health();
+    assert!(assigner.servers[0].unhealthy_until.is_some());
 }
 
 #[test]
-fn every_server_is_probed_three_times_a_period_unless_that_costs_too_many_rpcs() {
+fn servers_are_probed_three_times_a_period_and_less_often_when_rpcs_are_few() {
     let rounds = |rpcs: f64| {
-        let mut a = probed_fleet(4);
-        a.method_rpcs[0].add(a.now, a.half_life, rpcs, a.half_life);
+        let mut assigner = assigner_with_probing(4);
+        assigner.method_rpcs[0].add(assigner.now, assigner.half_life, rpcs, assigner.half_life);
         let mut rounds = BTreeSet::new();
         for tick in 0..20 {
             let at = 101.0 + f64::from(tick) * 0.05;
-            if is_probed(&a.handle(s(at), &[Event::Timer]), 3) {
+            if orders_probe(&assigner.handle(secs(at), &[Event::Timer]), 3) {
                 rounds.insert(tick);
             }
         }
@@ -163,381 +166,400 @@
 }
 
 #[test]
-fn a_server_that_sends_a_probe_back_is_not_shut_out() {
-    let mut a = probed_fleet(4);
-    probed(&mut a, 100.1, 0, Probe::Unanswered);
+fn server_that_pushes_probes_back_is_not_rejected() {
+    let mut assigner = assigner_with_probing(4);
+    deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
     for at in [100.2, 100.5, 100.8, 101.1, 102.0, 103.0] {
-        probed(&mut a, at, 0, Probe::PushedBack);
+        deliver_probe_result(&mut assigner, at, 0, Probe::PushedBack);
     }
-    (1..4).for_each(|i| met(&mut a, i, 20, 0, 0.1));
-    a.evaluate_health();
-    let sick = a.servers[0].unhealthy_until;
+    (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+    assigner.evaluate_health();
+    let unhealthy_until = assigner.servers[0].unhealthy_until;
     assert!(
-        !a.slices[0].rejects_all && sick.is_none(),
-        "it answered six times; shut {}, sick {sick:?}",
-        a.slices[0].rejects_all
+        !assigner.slices[0].rejects_all && unhealthy_until.is_none(),
+        "it answered six times; rejects_all {}, unhealthy until {unhealthy_until:?}",
+        assigner.slices[0].rejects_all
     );
 }
 
-/// As above, but with nothing told of RPCs that were not let in.
+/// Like `server_that_answers_rpcs_but_no_probes_keeps_slices`, but the reports cover only RPCs that were admitted.
 #[test]
-fn a_server_that_serves_what_is_let_in_and_answers_no_probe_keeps_its_slices() {
-    let mut a = probed_fleet(4);
-    let mut let_in = [true; 4];
-    let mut silent_until_sick = None;
+fn server_that_answers_admitted_rpcs_but_no_probes_keeps_slices() {
+    let mut assigner = assigner_with_probing(4);
+    let mut admits_reads = [true; 4];
+    let mut unhealthy_after_s = None;
     for tick in 1..200 {
         let at = 100.0 + f64::from(tick) * 0.1;
-        a.now = s(at);
-        // Reports each second, of the second before.
+        assigner.now = secs(at);
+        // Reports come each second and cover the second before.
         if tick % 10 == 0 {
-            for (server, let_in) in let_in.iter_mut().enumerate() {
-                let reads = a.slices[server].published_levels[0];
-                if std::mem::replace(let_in, reads > 0.0) {
-                    met(&mut a, server, (20.0 * reads).ceil() as u64, 0, 0.1);
+            for (server, admits_reads) in admits_reads.iter_mut().enumerate() {
+                let reads_level = assigner.slices[server].published_levels[0];
+                if std::mem::replace(admits_reads, reads_level > 0.0) {
+                    report_tries(&mut assigner, server, (20.0 * reads_level).ceil() as u64, 0, 0.1);
                 }
             }
-            a.next_period_at = s(at);
+            assigner.next_period_at = secs(at);
         }
         for server in 0..4 {
             let result = if server == 0 { Probe::Unanswered } else { Probe::Ok };
             if tick % 5 == 0 {
-                probed(&mut a, at, server, result);
+                deliver_probe_result(&mut assigner, at, server, result);
             }
         }
-        if a.servers[0].unhealthy_until.is_some() {
-            silent_until_sick.get_or_insert(at - 100.0);
+        if assigner.servers[0].unhealthy_until.is_some() {
+            unhealthy_after_s.get_or_insert(at - 100.0);
         }
     }
-    assert_eq!(silent_until_sick, None, "called sick after so many seconds");
+    assert_eq!(unhealthy_after_s, None, "marked unhealthy after this many seconds");
 }
 
 #[test]
-fn a_silent_server_that_is_to_drain_gets_no_reads_again() {
-    let mut a = probed_fleet(4);
-    probed(&mut a, 100.1, 0, Probe::Unanswered);
-    let entry = Entry { ep: ep(0), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
-    let orders = a.handle(s(100.2), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }]);
-    // Its line ends in the same message.
-    assert!(loses_line(&orders, 0, 0), "{:?}", shares(&orders));
+fn unresponsive_server_that_drains_has_line_revoked_at_once() {
+    let mut assigner = assigner_with_probing(4);
+    deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    let entry = Entry { ep: endpoint(0), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
+    let orders =
+        assigner.handle(secs(100.2), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }]);
+    // Its line is revoked in the same message.
+    assert!(revokes_line(&orders, 0, 0), "{:?}", ordered_levels(&orders));
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_spared_though_one_of_its_servers_was_sick_before() {
-    let mut a = probed_fleet(8);
-    (0..4).for_each(|server| a.servers[server].zone = 1);
-    a.servers[0].unanswered_probes = 9;
-    a.servers[0].unresponsive_since = Some(s(60.0));
-    a.servers[0].mark_unhealthy(s(61.0), s(110.0));
+fn unresponsive_zone_stays_healthy_although_one_server_was_unhealthy_before() {
+    let mut assigner = assigner_with_probing(8);
+    (0..4).for_each(|server| assigner.servers[server].zone = 1);
+    assigner.servers[0].unanswered_probes = 9;
+    assigner.servers[0].unresponsive_since = Some(secs(60.0));
+    assigner.servers[0].mark_unhealthy(secs(61.0), secs(110.0));
     for server in 1..4 {
-        a.servers[server].last_ok_at = s(98.0);
-        probed(&mut a, 100.1, server, Probe::Unanswered);
-        probed(&mut a, 100.4, server, Probe::Unanswered);
+        assigner.servers[server].last_ok_at = secs(98.0);
+        deliver_probe_result(&mut assigner, 100.1, server, Probe::Unanswered);
+        deliver_probe_result(&mut assigner, 100.4, server, Probe::Unanswered);
     }
-    (4..8).for_each(|server| met(&mut a, server, 20, 0, 0.1));
-    a.evaluate_health();
+    (4..8).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
+    assigner.evaluate_health();
     assert!(
-        a.servers[1..4].iter().all(|server| server.unhealthy_until.is_none()),
+        assigner.servers[1..4].iter().all(|server| server.unhealthy_until.is_none()),
         "within {ZONE_CONFIRMATION_TIME:?}"
     );
 }
 
 #[test]
-fn one_chance_miss_elsewhere_does_not_open_a_zone_that_is_cut() {
-    let mut a = probed_fleet(9);
-    (0..5).for_each(|server| a.servers[server].zone = 1);
-    (0..5).for_each(|server| drop(probed(&mut a, 100.1, server, Probe::Unanswered)));
-    assert!(a.slices[..5].iter().all(|slice| slice.rejects_all));
-    let orders = probed(&mut a, 100.2, 8, Probe::Unanswered);
-    assert!(a.slices[..5].iter().all(|slice| slice.rejects_all), "{:?}", shares(&orders));
+fn chance_miss_elsewhere_does_not_readmit_disconnected_zone() {
+    let mut assigner = assigner_with_probing(9);
+    (0..5).for_each(|server| assigner.servers[server].zone = 1);
+    (0..5).for_each(|server| drop(deliver_probe_result(&mut assigner, 100.1, server, Probe::Unanswered)));
+    assert!(assigner.slices[..5].iter().all(|slice| slice.rejects_all));
+    let orders = deliver_probe_result(&mut assigner, 100.2, 8, Probe::Unanswered);
+    assert!(assigner.slices[..5].iter().all(|slice| slice.rejects_all), "{:?}", ordered_levels(&orders));
 }
 
 #[test]
-fn where_nothing_fits_a_slice_does_not_go_to_a_suspected_server() {
-    let mut a = probed_fleet(4);
-    probed(&mut a, 100.1, 1, Probe::Unanswered);
-    let mut view = a.load_snapshot();
-    view.headroom = vec![0.0; 4];
-    view.loads = vec![1.0, 0.1, 1.0, 1.0];
-    assert_ne!(a.destination(0, &view), Some(1));
+fn suspected_server_is_no_destination_when_no_server_has_headroom() {
+    let mut assigner = assigner_with_probing(4);
+    deliver_probe_result(&mut assigner, 100.1, 1, Probe::Unanswered);
+    let mut snapshot = assigner.load_snapshot();
+    snapshot.headroom = vec![0.0; 4];
+    snapshot.loads = vec![1.0, 0.1, 1.0, 1.0];
+    assert_ne!(assigner.destination(0, &snapshot), Some(1));
 }
 
 #[test]
-fn no_batch_starts_a_move_to_a_suspected_server() {
-    let mut a = probed_fleet(4);
-    a.plan.pending_batches.push_back(vec![(0, 1)]);
-    probed(&mut a, 100.1, 1, Probe::Unanswered);
-    assert!(a.slices[0].handover.is_none());
+fn batch_starts_no_move_to_suspected_server() {
+    let mut assigner = assigner_with_probing(4);
+    assigner.plan.pending_batches.push_back(vec![(0, 1)]);
+    deliver_probe_result(&mut assigner, 100.1, 1, Probe::Unanswered);
+    assert!(assigner.slices[0].handover.is_none());
 }
 
 #[test]
-fn where_levels_are_not_followed_none_are_ordered_for_suspected_servers() {
-    let mut a = probed_fleet(4);
-    a.cfg.admission = Admission::Off;
-    assert_eq!(shares(&probed(&mut a, 100.1, 0, Probe::Unanswered)), []);
+fn no_levels_are_ordered_for_suspected_server_when_admission_is_off() {
+    let mut assigner = assigner_with_probing(4);
+    assigner.cfg.admission = Admission::Off;
+    assert_eq!(ordered_levels(&deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered)), []);
 }
 
-/// 200 servers that each miss one probe of a hundred by chance, at a pace of 3 rounds a second.
+/// 200 servers that miss up to 0.8 % of their probes by chance, with three rounds of probes a second, must not fill
+/// the channel with levels.
 #[test]
-fn chance_misses_leave_the_channel_room_for_drains() {
+fn chance_misses_leave_channel_capacity_for_drains() {
     use rand::{Rng, SeedableRng};
     let owners: Vec<(usize, f64)> = (0..180).map(|slice| (slice % 180, 10.0)).collect();
-    for (joined, share_missed) in [(480, 0.0), (480, 0.001), (480, 0.003), (480, 0.008)] {
-        let mut a = fleet(200, &owners);
-        (a.cfg.may_probe, a.cfg.max_backlog_lines, a.cfg.lines_per_s) = (true, 61100.0, 40700.0);
-        a.proxies =
-            (0..joined).map(|id| (id, Proxy { zone: 0, joined: true, state_since: s(0.0) })).collect();
+    for (joined, miss_probability) in [(480, 0.0), (480, 0.001), (480, 0.003), (480, 0.008)] {
+        let mut assigner = assigner_with(200, &owners);
+        (assigner.cfg.may_probe, assigner.cfg.max_backlog_lines, assigner.cfg.lines_per_s) =
+            (true, 61100.0, 40700.0);
+        assigner.proxies =
+            (0..joined).map(|id| (id, Proxy { zone: 0, joined: true, state_since: secs(0.0) })).collect();
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
-        let heads = MIN_DRAIN_MESSAGES * a.cfg.message_overhead_lines * a.joined_proxies() as f64
-            / a.cfg.max_backlog_lines;
-        let from = DRAIN_START_FILL.min(DRAIN_STOP_FILL - heads).max(LEAVE_STOP_FILL);
-        let (mut lines, mut blocked, mut shut, mut again, mut acks) =
+        let message_overhead_fill =
+            MIN_DRAIN_MESSAGES * assigner.cfg.message_overhead_lines * assigner.joined_proxies() as f64
+                / assigner.cfg.max_backlog_lines;
+        let drain_start_fill =
+            DRAIN_START_FILL.min(DRAIN_STOP_FILL - message_overhead_fill).max(LEAVE_STOP_FILL);
+        let (mut lines, mut blocked_ticks, mut rejected_slices, mut repeats, mut acks) =
             (0.0, 0, 0, Vec::new(), VecDeque::new());
-        let mut longest = 0;
-        let mut row = 0;
+        let mut longest_blocked = 0;
+        let mut blocked_in_a_row = 0;
         let ticks = 300;
         for tick in 0..ticks {
             let at = 100.0 + f64::from(tick) * 0.0333;
-            // A tenth of the fleet each thirtieth of a second, and those that are asked again.
-            let asked: Vec<usize> = (0..20).map(|i| (tick as usize % 10) * 20 + i).collect();
-            let again_now: Vec<usize> = std::mem::take(&mut again);
+            // A tenth of the servers is probed each thirtieth of a second, and each missed probe is repeated.
+            let scheduled: Vec<usize> = (0..20).map(|i| (tick as usize % 10) * 20 + i).collect();
+            let repeats_now: Vec<usize> = std::mem::take(&mut repeats);
             let mut events = Vec::new();
-            for server in asked.into_iter().chain(again_now) {
-                let missed = rng.random_range(0.0..1.0) < share_missed;
+            for server in scheduled.into_iter().chain(repeats_now) {
+                let missed = rng.random_range(0.0..1.0) < miss_probability;
                 let result = if missed { Probe::Unanswered } else { Probe::Ok };
-                again.extend(missed.then_some(server));
-                events.push(Event::Probed { ep: ep(server), result, load: LoadReport::default() });
+                repeats.extend(missed.then_some(server));
+                events.push(Event::Probed { ep: endpoint(server), result, load: LoadReport::default() });
             }
             if tick % 30 == 0 {
-                (0..200).for_each(|server| met(&mut a, server, 20, 0, 0.1));
+                (0..200).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
             }
-            // Every proxy answers after 0.4 s.
+            // Every proxy acknowledges after 0.4 s.
             while acks.front().is_some_and(|(sent, _)| tick >= sent + 12) {
                 let (_, mark) = acks.pop_front().unwrap();
-                events.extend((0..joined).map(|proxy| Event::Acked { proxy, mark, way: s(0.4) }));
+                events.extend((0..joined).map(|proxy| Event::Acked { proxy, mark, way: secs(0.4) }));
             }
-            a.now = s(at);
-            let blocked_now = !a.channel_is_below(from);
-            let orders = a.handle(s(at), &events);
-            acks.extend(orders.iter().filter_map(|o| match o {
+            assigner.now = secs(at);
+            let is_blocked = !assigner.channel_is_below(drain_start_fill);
+            let orders = assigner.handle(secs(at), &events);
+            acks.extend(orders.iter().filter_map(|order| match order {
                 Order::Mark { mark } => Some((tick, *mark)),
                 _ => None,
             }));
-            row = if blocked_now { row + 1 } else { 0 };
-            longest = longest.max(row);
-            let costs = orders.iter().filter(|o| o.costs_a_line()).count();
-            lines +=
-                if costs > 0 { (costs as f64 + a.cfg.message_overhead_lines) * joined as f64 } else { 0.0 };
-            blocked += i32::from(blocked_now);
-            shut += a.slices.iter().filter(|slice| slice.rejects_all).count();
+            blocked_in_a_row = if is_blocked { blocked_in_a_row + 1 } else { 0 };
+            longest_blocked = longest_blocked.max(blocked_in_a_row);
+            let line_orders = orders.iter().filter(|order| order.costs_a_line()).count();
+            lines += if line_orders > 0 {
+                (line_orders as f64 + assigner.cfg.message_overhead_lines) * joined as f64
+            } else {
+                0.0
+            };
+            blocked_ticks += i32::from(is_blocked);
+            rejected_slices += assigner.slices.iter().filter(|slice| slice.rejects_all).count();
         }
-        let shut = shut as f64 / f64::from(ticks) / 180.0;
-        println!("missed {share_missed}: {:.0} lines/s of 40700, drains blocked {blocked} of {ticks} ticks (longest {longest}, 33 ms each), slices shut {shut:.4}, from {from:.2}", lines / 10.0);
+        let rejected = rejected_slices as f64 / f64::from(ticks) / 180.0;
+        println!("missed {miss_probability}: {:.0} lines/s of 40700, drains blocked {blocked_ticks} of {ticks} ticks (longest {longest_blocked}, 33 ms each), slices rejected {rejected:.4}, drain_start_fill {drain_start_fill:.2}", lines / 10.0);
         assert!(
-            lines / 10.0 < 0.2 * a.cfg.lines_per_s,
-            "{lines} lines in 10 s for chance misses of {share_missed}"
+            lines / 10.0 < 0.2 * assigner.cfg.lines_per_s,
+            "{lines} lines in 10 s for chance misses of {miss_probability}"
         );
     }
 }
 
 #[test]
-fn a_zone_that_is_let_in_again_leaves_the_channel_room_for_drains_to_start() {
+fn readmitted_zone_leaves_channel_capacity_for_drain_to_start() {
     let owners: Vec<(usize, f64)> = (0..180).map(|slice| (slice, 10.0)).collect();
-    let mut a = fleet(200, &owners);
-    (a.cfg.may_probe, a.cfg.max_backlog_lines, a.cfg.lines_per_s) = (true, 61100.0, 40700.0);
-    a.proxies = (0..480).map(|id| (id, Proxy { zone: 0, joined: true, state_since: s(0.0) })).collect();
-    (0..95).for_each(|server| a.servers[server].zone = 1);
-    a.next_probes_at = s(200.0);
-    let all = |result| -> Vec<Event> {
-        (0..95).map(|server| Event::Probed { ep: ep(server), result, load: LoadReport::default() }).collect()
+    let mut assigner = assigner_with(200, &owners);
+    (assigner.cfg.may_probe, assigner.cfg.max_backlog_lines, assigner.cfg.lines_per_s) =
+        (true, 61100.0, 40700.0);
+    assigner.proxies =
+        (0..480).map(|id| (id, Proxy { zone: 0, joined: true, state_since: secs(0.0) })).collect();
+    (0..95).for_each(|server| assigner.servers[server].zone = 1);
+    assigner.next_probes_at = secs(200.0);
+    let all_results = |result| -> Vec<Event> {
+        (0..95)
+            .map(|server| Event::Probed { ep: endpoint(server), result, load: LoadReport::default() })
+            .collect()
     };
     let mut at = 100.1;
-    let acked = |orders: &[Order]| -> Vec<Event> {
-        let marks = orders.iter().filter_map(|o| match o {
+    let acks_of = |orders: &[Order]| -> Vec<Event> {
+        let marks = orders.iter().filter_map(|order| match order {
             Order::Mark { mark } => Some(*mark),
             _ => None,
         });
-        marks.flat_map(|mark| (0..480).map(move |proxy| Event::Acked { proxy, mark, way: s(0.4) })).collect()
+        marks
+            .flat_map(|mark| (0..480).map(move |proxy| Event::Acked { proxy, mark, way: secs(0.4) }))
+            .collect()
     };
-    let mut answers = acked(&a.handle(s(at), &all(Probe::Unanswered)));
+    let mut acks = acks_of(&assigner.handle(secs(at), &all_results(Probe::Unanswered)));
     for _ in 0..12 {
         at += 0.4;
-        answers.push(Event::Timer);
-        answers = acked(&a.handle(s(at), &answers));
+        acks.push(Event::Timer);
+        acks = acks_of(&assigner.handle(secs(at), &acks));
     }
-    let shut = a.slices.iter().filter(|slice| slice.rejects_all).count();
-    // Answers to marks come 0.4 s after them.
-    let mut later: Vec<(f64, Vec<Event>)> = Vec::new();
+    let rejected = assigner.slices.iter().filter(|slice| slice.rejects_all).count();
+    // Acks arrive 0.4 s after they are requested.
+    let mut scheduled_acks: Vec<(f64, Vec<Event>)> = Vec::new();
     at += 0.1;
-    later.push((at + 0.4, acked(&a.handle(s(at), &all(Probe::Ok)))));
-    let open = shut - a.slices.iter().filter(|slice| slice.rejects_all).count();
+    scheduled_acks.push((at + 0.4, acks_of(&assigner.handle(secs(at), &all_results(Probe::Ok)))));
+    let readmitted = rejected - assigner.slices.iter().filter(|slice| slice.rejects_all).count();
     at += 0.05;
-    let entry = Entry { ep: ep(150), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
-    let orders = a.handle(s(at), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }]);
-    later.push((at + 0.4, acked(&orders)));
-    let started = |a: &Assigner| a.slices[150].handover.is_some();
-    let mut waited = 0.0;
-    while !started(&a) && waited < 10.0 {
-        waited += 0.05;
+    let entry = Entry { ep: endpoint(150), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
+    let orders = assigner.handle(secs(at), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }]);
+    scheduled_acks.push((at + 0.4, acks_of(&orders)));
+    let drain_started = |assigner: &Assigner| assigner.slices[150].handover.is_some();
+    let mut waited_s = 0.0;
+    while !drain_started(&assigner) && waited_s < 10.0 {
+        waited_s += 0.05;
         let mut events = vec![Event::Timer];
-        later.retain(|(due, answers)| {
-            let waits = *due > at + waited;
-            events.extend(if waits { vec![] } else { answers.clone() });
-            waits
+        scheduled_acks.retain(|(due, acks)| {
+            let is_pending = *due > at + waited_s;
+            events.extend(if is_pending { vec![] } else { acks.clone() });
+            is_pending
         });
-        let orders = a.handle(s(at + waited), &events);
-        later.push((at + waited + 0.4, acked(&orders)));
+        let orders = assigner.handle(secs(at + waited_s), &events);
+        scheduled_acks.push((at + waited_s + 0.4, acks_of(&orders)));
     }
-    assert!(waited == 0.0, "shut {shut}, opened {open}; the drain starts {waited:.2} s after it was told");
+    assert!(
+        waited_s == 0.0,
+        "rejected {rejected}, readmitted {readmitted}; the drain starts {waited_s:.2} s after the update"
+    );
 }
 
 #[test]
-fn where_probing_is_not_allowed_nobody_is_probed_or_suspected() {
-    let mut a = probed_fleet(4);
-    a.cfg.may_probe = false;
-    let orders = probed(&mut a, 100.1, 0, Probe::Unanswered);
-    assert!(!is_probed(&orders, 0) && shares(&orders).is_empty(), "{orders:?}");
+fn no_server_is_probed_or_suspected_when_probing_is_forbidden() {
+    let mut assigner = assigner_with_probing(4);
+    assigner.cfg.may_probe = false;
+    let orders = deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    assert!(!orders_probe(&orders, 0) && ordered_levels(&orders).is_empty(), "{orders:?}");
 }
 
-/// A stretch of reports: RPCs come for each slice, and are answered by all servers but those named.
-fn stretch(a: &mut Assigner, at: f64, silent: &[usize]) {
-    let span = s(1.0);
+/// Reports of one interval: RPCs come for each slice, and all servers but the `unresponsive` ones answer them.
+fn report_interval(assigner: &mut Assigner, at: f64, unresponsive: &[usize]) {
+    let span = secs(1.0);
     let mut events = Vec::new();
-    for (slice, owner) in a.slices.iter().enumerate().filter_map(|(id, s)| Some((id, s.owner?))) {
+    for (slice, owner) in
+        assigner.slices.iter().enumerate().filter_map(|(id, slice)| Some((id, slice.owner?)))
+    {
         events.push(Event::Demand { slice, method: 0, rpcs: 10, lost: 0, span });
-        let tries = if silent.contains(&owner) { 0 } else { 10 };
+        let tries = if unresponsive.contains(&owner) { 0 } else { 10 };
         let load = LoadReport::default();
-        events.push(Event::Met { ep: ep(owner), zone: 0, tries, lost: 0, wait: s(0.1), span, load });
+        events.push(Event::Met { ep: endpoint(owner), zone: 0, tries, lost: 0, wait: secs(0.1), span, load });
     }
-    a.handle(s(at), &events);
+    assigner.handle(secs(at), &events);
 }
 
-/// Probes of all servers are answered; the one that hangs tells of so many RPCs in hand.
-fn answered_probes(a: &mut Assigner, at: f64, hanging: usize, in_hand: f64) {
+/// Answers to probes of all servers, in which the hanging server reports `hanging_in_flight` RPCs in flight.
+fn answer_probes(assigner: &mut Assigner, at: f64, hanging: usize, hanging_in_flight: f64) {
     let load = |server| {
-        let in_hand = if server == hanging { in_hand } else { 1.0 };
-        LoadReport { in_hand: Some(in_hand), waiting: Some(0.0), cpu: Some(0.1), service: None }
+        let in_flight = if server == hanging { hanging_in_flight } else { 1.0 };
+        LoadReport { in_hand: Some(in_flight), waiting: Some(0.0), cpu: Some(0.1), service: None }
     };
-    let probed = |server| Event::Probed { ep: ep(server), result: Probe::Ok, load: load(server) };
-    let events: Vec<Event> = (0..a.servers.len()).map(probed).collect();
-    a.handle(s(at), &events);
+    let answer = |server| Event::Probed { ep: endpoint(server), result: Probe::Ok, load: load(server) };
+    let events: Vec<Event> = (0..assigner.servers.len()).map(answer).collect();
+    assigner.handle(secs(at), &events);
 }
 
-/// Guards against a server that answers probes and no RPC and keeps its slices until callers' deadlines have passed.
+/// A server that answers probes but no RPCs must not keep its slices until the deadlines of its RPCs have passed.
 #[test]
-fn a_server_that_takes_rpcs_in_and_answers_none_is_sick_within_two_stretches() {
-    let mut a = probed_fleet(4);
-    stretch(&mut a, 101.0, &[]);
-    answered_probes(&mut a, 101.1, 0, 1.0);
-    stretch(&mut a, 102.0, &[0]);
-    answered_probes(&mut a, 102.1, 0, 11.0);
-    answered_probes(&mut a, 102.4, 0, 14.0);
-    assert!(a.servers[0].unhealthy_until.is_some());
-    assert!(a.servers[1..].iter().all(|server| server.unhealthy_until.is_none()));
-}
-
-/// Guards against an assigner that hears of few servers, since it has few slices, and believes of none that it hangs
-/// though the server tells so.
+fn server_that_accumulates_rpcs_without_answers_is_unhealthy_within_two_intervals() {
+    let mut assigner = assigner_with_probing(4);
+    report_interval(&mut assigner, 101.0, &[]);
+    answer_probes(&mut assigner, 101.1, 0, 1.0);
+    report_interval(&mut assigner, 102.0, &[0]);
+    answer_probes(&mut assigner, 102.1, 0, 11.0);
+    answer_probes(&mut assigner, 102.4, 0, 14.0);
+    assert!(assigner.servers[0].unhealthy_until.is_some());
+    assert!(assigner.servers[1..].iter().all(|server| server.unhealthy_until.is_none()));
+}
+
+/// An assigner with few slices gets reports of few servers. It must still detect a hanging server that reports a
+/// growing number of RPCs in flight.
 #[test]
-fn servers_without_slices_do_not_hide_that_one_is_silent() {
-    let mut a = probed_fleet(9);
-    a.slices[3..].iter_mut().for_each(|slice| *slice = Slice::default());
-    stretch(&mut a, 101.0, &[]);
-    answered_probes(&mut a, 101.1, 0, 1.0);
+fn servers_without_slices_do_not_hide_unresponsive_one() {
+    let mut assigner = assigner_with_probing(9);
+    assigner.slices[3..].iter_mut().for_each(|slice| *slice = Slice::default());
+    report_interval(&mut assigner, 101.0, &[]);
+    answer_probes(&mut assigner, 101.1, 0, 1.0);
     for at in [102.0, 103.0, 104.0] {
-        stretch(&mut a, at, &[0]);
-        answered_probes(&mut a, at + 0.4, 0, (at - 101.0) * 10.0);
+        report_interval(&mut assigner, at, &[0]);
+        answer_probes(&mut assigner, at + 0.4, 0, (at - 101.0) * 10.0);
     }
-    assert!(a.servers[0].unhealthy_until.is_some());
-    assert!(a.servers[1..].iter().all(|server| server.unhealthy_until.is_none()));
+    assert!(assigner.servers[0].unhealthy_until.is_some());
+    assert!(assigner.servers[1..].iter().all(|server| server.unhealthy_until.is_none()));
 }
 
-/// Guards against a server that is called silent since we refuse what would be sent there.
+/// A server has no answers to report for RPCs that levels reject, so it must not be marked unhealthy for that.
 #[test]
-fn no_answer_is_due_of_rpcs_that_are_refused() {
-    let mut a = probed_fleet(4);
-    stretch(&mut a, 101.0, &[]);
-    a.slices[0].published_levels = vec![0.0, 0.0];
+fn rejected_rpcs_do_not_make_server_unhealthy() {
+    let mut assigner = assigner_with_probing(4);
+    report_interval(&mut assigner, 101.0, &[]);
+    assigner.slices[0].published_levels = vec![0.0, 0.0];
     for number in 0..4 {
-        stretch(&mut a, 102.0 + f64::from(number), &[0]);
-        a.slices[0].published_levels = vec![0.0, 0.0];
+        report_interval(&mut assigner, 102.0 + f64::from(number), &[0]);
+        assigner.slices[0].published_levels = vec![0.0, 0.0];
     }
-    assert_eq!(a.servers[0].unhealthy_until, None);
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
 
-/// A fleet in which it is known how late reports come: one server had no RPCs until a grant at 100 s.
-fn fleet_with_known_lag(lag: f64) -> Assigner {
-    let mut a = probed_fleet(4);
-    a.servers[3].granted_while_idle_at = Some(s(100.0));
-    // A report tells of the second that ended so long before it.
-    let first_tells = (1.0 - lag.fract()) * 10.0;
+/// An assigner that has learned how late reports come, in seconds: server 3 had no RPCs until a grant at 100 s.
+fn assigner_with_known_report_lag(lag: f64) -> Assigner {
+    let mut assigner = assigner_with_probing(4);
+    assigner.servers[3].granted_while_idle_at = Some(secs(100.0));
+    // A report covers the second that ended `lag` seconds before it.
+    let tries_in_first_report = (1.0 - lag.fract()) * 10.0;
     for number in 0..4 {
         let at = 101.0 + f64::from(number);
         let tries = match f64::from(number) - lag.floor() {
             before if before < 0.0 => 0,
-            0.0 => first_tells as u64,
+            0.0 => tries_in_first_report as u64,
             _ => 10,
         };
-        let met = |server: usize, tries| Event::Met {
-            ep: ep(server),
+        let report = |server: usize, tries| Event::Met {
+            ep: endpoint(server),
             zone: 0,
             tries,
             lost: 0,
-            wait: s(0.1),
-            span: s(1.0),
+            wait: secs(0.1),
+            span: secs(1.0),
             load: LoadReport::default(),
         };
-        let mut events: Vec<Event> = (0..3).map(|server| met(server, 10)).collect();
-        events.extend((tries > 0).then(|| met(3, tries)));
+        let mut events: Vec<Event> = (0..3).map(|server| report(server, 10)).collect();
+        events.extend((tries > 0).then(|| report(3, tries)));
         events.extend((0..4).map(|slice| Event::Demand {
             slice,
             method: 0,
             rpcs: 10,
             lost: 0,
-            span: s(1.0),
+            span: secs(1.0),
         }));
-        a.handle(s(at), &events);
+        assigner.handle(secs(at), &events);
     }
-    a
+    assigner
 }
 
-/// Server 0 misses the probes that are ordered at 104.1 s, and is shut out when that is found.
-fn miss_probes(a: &mut Assigner) {
-    answered_probes(a, 104.05, 0, 1.0);
-    a.next_probes_at = s(104.1);
-    a.handle(s(104.1), &[Event::Timer]);
+/// Server 0 misses the probes ordered at 104.1 s and has all its RPCs rejected once that is detected.
+fn miss_probes(assigner: &mut Assigner) {
+    answer_probes(assigner, 104.05, 0, 1.0);
+    assigner.next_probes_at = secs(104.1);
+    assigner.handle(secs(104.1), &[Event::Timer]);
     for at in [104.8, 104.9] {
-        probed(a, at, 0, Probe::Unanswered);
+        deliver_probe_result(assigner, at, 0, Probe::Unanswered);
     }
-    assert!(a.slices[0].rejects_all);
+    assert!(assigner.slices[0].rejects_all);
 }
 
-/// Guards against slices of a server that answers RPCs and no probe being shut out, or moved, for stretches.
+/// Slices of a server that answers RPCs but no probes must not stay rejected, or move, for several report intervals.
 #[test]
-fn answers_since_a_missed_probe_open_a_server_with_the_first_report() {
-    let mut a = fleet_with_known_lag(0.0);
-    miss_probes(&mut a);
-    stretch(&mut a, 105.0, &[]);
-    assert!(!a.slices[0].rejects_all);
-    assert_eq!(a.servers[0].unhealthy_until, None);
+fn answers_after_missed_probe_readmit_server_with_first_report() {
+    let mut assigner = assigner_with_known_report_lag(0.0);
+    miss_probes(&mut assigner);
+    report_interval(&mut assigner, 105.0, &[]);
+    assert!(!assigner.slices[0].rejects_all);
+    assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
 
-/// Guards against slices of a silent server that stay shut, and refused, long after it could be known.
+/// Slices of an unresponsive server must move as soon as a report shows that it answers no RPCs either.
 #[test]
-fn no_answers_since_a_missed_probe_move_slices_with_the_first_report() {
-    let mut a = fleet_with_known_lag(0.0);
-    miss_probes(&mut a);
-    stretch(&mut a, 105.0, &[0]);
-    a.handle(s(105.1), &[Event::Timer]);
-    a.handle(s(105.4), &[Event::Timer]);
-    assert!(a.servers[0].unhealthy_until.is_some());
-    assert!(a.slices[0].handover.is_some());
+fn missing_answers_after_missed_probe_move_slices_with_first_report() {
+    let mut assigner = assigner_with_known_report_lag(0.0);
+    miss_probes(&mut assigner);
+    report_interval(&mut assigner, 105.0, &[0]);
+    assigner.handle(secs(105.1), &[Event::Timer]);
+    assigner.handle(secs(105.4), &[Event::Timer]);
+    assert!(assigner.servers[0].unhealthy_until.is_some());
+    assert!(assigner.slices[0].handover.is_some());
 }
 
-/// Guards against answers from before a server died being taken for its life where reports come late.
+/// When reports come late, answers from before a server died must not count as a sign that it is alive.
 #[test]
-fn answers_told_late_are_not_taken_for_answers_since_a_missed_probe() {
-    let mut a = fleet_with_known_lag(1.5);
-    miss_probes(&mut a);
-    stretch(&mut a, 105.0, &[]);
-    assert!(a.slices[0].rejects_all);
+fn answers_reported_late_do_not_count_as_answers_after_missed_probe() {
+    let mut assigner = assigner_with_known_report_lag(1.5);
+    miss_probes(&mut assigner);
+    report_interval(&mut assigner, 105.0, &[]);
+    assert!(assigner.slices[0].rejects_all);
 }
