--- a/crates/whinhill/src/assigner/handover/property.rs
+++ b/crates/whinhill/src/assigner/handover/property.rs
@@ -1,51 +1,57 @@
-//! Whatever proxies do, no slice lacks a line for longer than the bound, and no two servers take writes.
+//! Checks on random faults that no proxy lacks a line for longer than a bound and that no two servers get writes at
+//! the same time.
 //!
-//! A model of proxies, store and channel by the wire's page: messages arrive in order or are lost with the stream, a
-//! proxy without a stream writes for a lease, and one that comes back reads the store within a second.
+//! The model covers proxies, store and channel: messages arrive in order or are lost with the stream, a proxy without
+//! a stream sends writes until its lease ends, and a proxy whose stream is back reads the store within a second.
 
 use std::collections::VecDeque;
 
 use proptest::prelude::*;
 
-use super::super::tests::{ep, fleet, s};
+use super::super::tests::{assigner_with, endpoint, secs};
 use super::*;
 
 const PROXIES: usize = 6;
 const SERVERS: usize = 6;
 const STEP: Duration = Duration::from_millis(50);
 const STEPS: u32 = 500;
-const READS_WITHIN_STEPS: u32 = 20;
-/// The longest way of a message in the settings, and the longest that a broken stream goes unnoticed, in steps.
-const WAY_STEPS: u32 = 16;
-const NOTICED_STEPS: u32 = 60;
-const WRITES: usize = 1;
+/// Time in which a proxy whose stream is back reads the store, in steps.
+const MAX_STORE_READ_STEPS: u32 = 20;
+/// Longest transit of a message by the settings, in steps.
+const MAX_TRANSIT_STEPS: u32 = 16;
+/// Longest time until a broken stream is noticed, in steps.
+const MAX_NOTICE_STEPS: u32 = 60;
+/// The method that writes.
+const WRITE_METHOD: usize = 1;
 
-/// What happens to one proxy, or to the owner.
+/// A fault of one proxy, or a drain of the owner.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// Its stream breaks, is noticed and is back so many steps later each.
+enum Fault {
+    /// The stream breaks; the assigner notices after `noticed` steps, and it is back `back` steps after that.
     Break { noticed: u32, back: u32 },
-    /// Its stream is silent for so many steps, and goes on without a word.
+    /// The stream loses messages for `steps` steps and then works again; the assigner does not notice.
     Silence { steps: u32 },
-    /// Its answers are lost for so many steps.
-    LostAnswers { steps: u32 },
+    /// The acks are lost for `steps` steps.
+    LostAcks { steps: u32 },
     /// The owner of the slice drains.
     Drain,
 }
 
-/// A table of the one slice, at a proxy or in the store.
+/// The table entry of the one slice, at a proxy or in the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Table {
     line: Option<usize>,
     writes: bool,
 }
 
+/// A message on its way to a proxy, and the step in which it arrives.
 #[derive(Clone, Debug)]
 struct Message {
     due: u32,
     orders: Vec<Order>,
 }
 
+/// A proxy; times are steps.
 #[derive(Clone, Debug)]
 struct ModelProxy {
     table: Table,
@@ -53,41 +59,46 @@
     is_joined: bool,
     reads_at: Option<u32>,
     lease_ends: Option<u32>,
-    answers_lost_until: u32,
+    acks_lost_until: u32,
     last_due: u32,
     inbox: VecDeque<Message>,
-    without_line: u32,
-    /// Steps at which the assigner hears that it left, and at which its stream is back.
+    steps_without_line: u32,
+    /// When the assigner notices that the stream broke, and when the stream is back.
     noticed_at: Option<u32>,
     back_at: Option<u32>,
 }
 
+/// The assigner with the store, the proxies and the events of the next step.
 struct Model {
     assigner: Assigner,
     store: Table,
     proxies: Vec<ModelProxy>,
-    /// By server, the last step in which a write could be sent there.
+    /// For each server, the last step in which a proxy could send it a write.
     last_write: [Option<u32>; SERVERS],
     events: Vec<Event>,
 }
 
+/// A duration in steps, rounded up.
 fn steps(time: Duration) -> u32 {
     time.as_millis().div_ceil(STEP.as_millis()) as u32
 }
 
+/// Applies one order to a table.
 fn apply(table: &mut Table, order: &Order) {
     match order {
         Order::Grant { ep, .. } => table.line = Some(ep.index),
         Order::Revoke { ep, .. } if table.line == Some(ep.index) => table.line = None,
-        Order::Level { share, methods, .. } if methods & (1 << WRITES) != 0 => table.writes = *share > 0.0,
+        Order::Level { share, methods, .. } if methods & (1 << WRITE_METHOD) != 0 => {
+            table.writes = *share > 0.0
+        }
         _ => {}
     }
 }
 
 impl Model {
     fn new() -> Self {
-        let mut assigner = fleet(SERVERS, &[(0, 0.1)]);
-        let joined = Proxy { zone: 0, joined: true, state_since: s(0.0) };
+        let mut assigner = assigner_with(SERVERS, &[(0, 0.1)]);
+        let joined = Proxy { zone: 0, joined: true, state_since: secs(0.0) };
         assigner.proxies = (0..PROXIES as u32).map(|id| (id, joined)).collect();
         let table = Table { line: Some(0), writes: true };
         let proxy = ModelProxy {
@@ -96,10 +107,10 @@
             is_joined: true,
             reads_at: None,
             lease_ends: None,
-            answers_lost_until: 0,
+            acks_lost_until: 0,
             last_due: 0,
             inbox: VecDeque::new(),
-            without_line: 0,
+            steps_without_line: 0,
             noticed_at: None,
             back_at: None,
         };
@@ -107,59 +118,71 @@
         Model { assigner, store: table, proxies, last_write: [None; SERVERS], events: Vec::new() }
     }
 
-    fn begin(&mut self, now: u32, proxy: usize, trouble: Trouble) {
+    /// Starts a fault.
+    fn start_fault(&mut self, now: u32, proxy: usize, fault: Fault) {
         let lease = steps(self.assigner.cfg.write_lease);
         let owner = self.assigner.owner(0);
-        let one = &mut self.proxies[proxy];
-        match trouble {
-            Trouble::Drain => {
+        let proxy = &mut self.proxies[proxy];
+        match fault {
+            Fault::Drain => {
                 let Some(owner) = owner else { return };
-                let entry =
-                    Entry { ep: ep(owner), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
-                // One is always left.
-                let ready = self.assigner.servers.iter().filter(|s| s.listed_status == Listed::Ready).count();
+                let entry = Entry {
+                    ep: endpoint(owner),
+                    zone: 0,
+                    listed: Listed::Draining,
+                    size: 1.0,
+                    started: None,
+                };
+                // One server always stays ready.
+                let ready = self
+                    .assigner
+                    .servers
+                    .iter()
+                    .filter(|server| server.listed_status == Listed::Ready)
+                    .count();
                 if ready > 1 {
                     self.events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
                 }
             }
-            Trouble::LostAnswers { steps } => one.answers_lost_until = now + steps,
-            Trouble::Break { .. } | Trouble::Silence { .. } if !one.is_up => {}
-            Trouble::Break { noticed, back } => {
-                one.lose(now, lease);
-                (one.noticed_at, one.back_at) = (Some(now + noticed), Some(now + noticed + back));
+            Fault::LostAcks { steps } => proxy.acks_lost_until = now + steps,
+            Fault::Break { .. } | Fault::Silence { .. } if !proxy.is_up => {}
+            Fault::Break { noticed, back } => {
+                proxy.break_stream(now, lease);
+                (proxy.noticed_at, proxy.back_at) = (Some(now + noticed), Some(now + noticed + back));
             }
-            Trouble::Silence { steps } => {
-                one.lose(now, lease);
-                one.back_at = Some(now + steps);
+            Fault::Silence { steps } => {
+                proxy.break_stream(now, lease);
+                proxy.back_at = Some(now + steps);
             }
         }
     }
 
-    fn step(&mut self, now: u32, ways: &[u32]) {
-        let at = s(100.0) + STEP * now;
-        for (id, one) in self.proxies.iter_mut().enumerate() {
-            let proxy = id as ProxyId;
-            if one.noticed_at.take_if(|due| *due <= now).is_some() {
-                one.is_joined = false;
-                self.events.push(Event::Left { proxy });
+    /// Runs one step: delivers due messages, calls the assigner, and sends its orders.
+    fn step(&mut self, now: u32, transit_steps: &[u32]) {
+        let at = secs(100.0) + STEP * now;
+        for (index, proxy) in self.proxies.iter_mut().enumerate() {
+            let id = index as ProxyId;
+            if proxy.noticed_at.take_if(|due| *due <= now).is_some() {
+                proxy.is_joined = false;
+                self.events.push(Event::Left { proxy: id });
             }
-            if one.back_at.take_if(|due| *due <= now).is_some() {
-                one.is_up = true;
-                one.reads_at = Some(now + ways[id] % READS_WITHIN_STEPS);
-                if !std::mem::replace(&mut one.is_joined, true) {
-                    self.events.push(Event::Joined { proxy, zone: 0 });
+            if proxy.back_at.take_if(|due| *due <= now).is_some() {
+                proxy.is_up = true;
+                proxy.reads_at = Some(now + transit_steps[index] % MAX_STORE_READ_STEPS);
+                if !std::mem::replace(&mut proxy.is_joined, true) {
+                    self.events.push(Event::Joined { proxy: id, zone: 0 });
                 }
             }
-            if one.reads_at.take_if(|due| *due <= now).is_some() {
-                (one.table, one.lease_ends) = (self.store, None);
+            if proxy.reads_at.take_if(|due| *due <= now).is_some() {
+                (proxy.table, proxy.lease_ends) = (self.store, None);
             }
-            while one.inbox.front().is_some_and(|message| message.due <= now) {
-                for order in one.inbox.pop_front().into_iter().flat_map(|message| message.orders) {
-                    apply(&mut one.table, &order);
-                    let way = STEP * ways[id];
+            while proxy.inbox.front().is_some_and(|message| message.due <= now) {
+                for order in proxy.inbox.pop_front().into_iter().flat_map(|message| message.orders) {
+                    apply(&mut proxy.table, &order);
+                    let way = STEP * transit_steps[index];
                     match order {
-                        Order::Mark { mark } if now >= one.answers_lost_until => {
-                            self.events.push(Event::Acked { proxy, mark, way });
+                        Order::Mark { mark } if now >= proxy.acks_lost_until => {
+                            self.events.push(Event::Acked { proxy: id, mark, way });
                         }
                         _ => {}
                     }
@@ -173,68 +196,70 @@
             return;
         }
         orders.iter().for_each(|order| apply(&mut self.store, order));
-        for (one, way) in self.proxies.iter_mut().zip(ways).filter(|(one, _)| one.is_up) {
-            one.last_due = (now + way).max(one.last_due).max(one.reads_at.unwrap_or(0));
-            one.inbox.push_back(Message { due: one.last_due, orders: orders.clone() });
+        for (proxy, transit) in self.proxies.iter_mut().zip(transit_steps).filter(|(proxy, _)| proxy.is_up) {
+            proxy.last_due = (now + transit).max(proxy.last_due).max(proxy.reads_at.unwrap_or(0));
+            proxy.inbox.push_back(Message { due: proxy.last_due, orders: orders.clone() });
         }
     }
 
-    /// The rules, after a step.
-    fn judge(&mut self, now: u32) -> Result<(), TestCaseError> {
+    /// Checks the two properties after a step.
+    fn check(&mut self, now: u32) -> Result<(), TestCaseError> {
         let cfg = &self.assigner.cfg;
-        let in_hand = steps(cfg.settle_time);
-        // To the grant, its own way, and the read of the store of a proxy that has just come back.
-        let longest = steps(cfg.max_transit * 3 + cfg.write_lease + cfg.settle_time) + READS_WITHIN_STEPS + 4;
-        for (id, one) in self.proxies.iter_mut().enumerate() {
-            let lacks_line = one.is_up && one.table.line.is_none();
-            one.without_line = if lacks_line { one.without_line + 1 } else { 0 };
+        let settle_steps = steps(cfg.settle_time);
+        // The longest time to the grant, the transit of the grant, and the store read of a proxy whose stream is back.
+        let max_steps_without_line =
+            steps(cfg.max_transit * 3 + cfg.write_lease + cfg.settle_time) + MAX_STORE_READ_STEPS + 4;
+        for (id, proxy) in self.proxies.iter_mut().enumerate() {
+            let lacks_line = proxy.is_up && proxy.table.line.is_none();
+            proxy.steps_without_line = if lacks_line { proxy.steps_without_line + 1 } else { 0 };
             prop_assert!(
-                one.without_line <= longest,
+                proxy.steps_without_line <= max_steps_without_line,
                 "proxy {id} has no line for {} steps",
-                one.without_line
+                proxy.steps_without_line
             );
-            let writes = one.table.writes && one.lease_ends.is_none_or(|end| now < end);
-            let Some(server) = one.table.line.filter(|_| writes) else { continue };
+            let writes = proxy.table.writes && proxy.lease_ends.is_none_or(|end| now < end);
+            let Some(server) = proxy.table.line.filter(|_| writes) else { continue };
             self.last_write[server] = Some(now);
         }
-        let taking = |last: &Option<u32>| last.is_some_and(|last| last + in_hand > now);
-        let takers = self.last_write.iter().filter(|last| taking(last)).count();
-        prop_assert!(takers <= 1, "writes at {:?} in step {now}", self.last_write);
+        let may_get_writes = |last: &Option<u32>| last.is_some_and(|last| last + settle_steps > now);
+        let written_servers = self.last_write.iter().filter(|last| may_get_writes(last)).count();
+        prop_assert!(written_servers <= 1, "writes at {:?} in step {now}", self.last_write);
         Ok(())
     }
 }
 
 impl ModelProxy {
-    fn lose(&mut self, now: u32, lease: u32) {
+    /// Breaks the stream: messages on their way are lost, and the write lease starts to run out.
+    fn break_stream(&mut self, now: u32, lease: u32) {
         (self.is_up, self.reads_at) = (false, None);
         self.lease_ends.get_or_insert(now + lease);
         self.inbox.clear();
     }
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn any_fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        3 => (0..NOTICED_STEPS, 1..60u32).prop_map(|(noticed, back)| Trouble::Break { noticed, back }),
-        2 => (1..400u32).prop_map(|steps| Trouble::Silence { steps }),
-        1 => (1..200u32).prop_map(|steps| Trouble::LostAnswers { steps }),
-        2 => Just(Trouble::Drain),
+        3 => (0..MAX_NOTICE_STEPS, 1..60u32).prop_map(|(noticed, back)| Fault::Break { noticed, back }),
+        2 => (1..400u32).prop_map(|steps| Fault::Silence { steps }),
+        1 => (1..200u32).prop_map(|steps| Fault::LostAcks { steps }),
+        2 => Just(Fault::Drain),
     ]
 }
 
 proptest! {
     #[test]
-    fn no_line_is_away_for_long_and_no_two_servers_take_writes(
-        script in prop::collection::vec((0..STEPS, 1..PROXIES, trouble()), 1..30),
-        ways in prop::collection::vec(1..WAY_STEPS, PROXIES),
+    fn time_without_line_is_bounded_and_writes_go_to_one_server_at_a_time(
+        script in prop::collection::vec((0..STEPS, 1..PROXIES, any_fault()), 1..30),
+        ways in prop::collection::vec(1..MAX_TRANSIT_STEPS, PROXIES),
     ) {
         let mut model = Model::new();
         model.events.push(Event::Timer);
         for now in 0..STEPS {
-            for (_, proxy, trouble) in script.iter().filter(|(at, ..)| *at == now) {
-                model.begin(now, *proxy, *trouble);
+            for (_, proxy, fault) in script.iter().filter(|(at, ..)| *at == now) {
+                model.start_fault(now, *proxy, *fault);
             }
             model.step(now, &ways);
-            model.judge(now)?;
+            model.check(now)?;
         }
     }
 }
--- a/crates/whinhill/src/assigner/handover/tests.rs
+++ b/crates/whinhill/src/assigner/handover/tests.rs
@@ -1,260 +1,275 @@
-//! Handovers while proxies leave, fall silent, come back, or lose their answers.
+//! Handovers while proxies leave, become unresponsive, rejoin, or lose their acks.
 
-use super::super::tests::{ep, fleet, s};
+use super::super::tests::{assigner_with, endpoint, secs};
 use super::*;
 
 const PROXIES: u32 = 150;
-/// The one proxy that behaves otherwise.
-const ODD: ProxyId = 7;
-/// How long a proxy takes to answer.
-const ANSWERS_AFTER: Duration = Duration::from_millis(300);
+/// The proxy whose behavior a test varies; all others acknowledge.
+const TESTED_PROXY: ProxyId = 7;
+/// Time from an ack request to the ack.
+const ACK_DELAY: Duration = Duration::from_millis(300);
 const STEP: Duration = Duration::from_millis(50);
-/// How long a play lasts at most.
-const PLAY: Duration = Duration::from_secs(40);
+/// Longest simulated time of a run.
+const MAX_RUN_TIME: Duration = Duration::from_secs(40);
 
-/// What the odd proxy does, in seconds from the stop.
+/// Behavior of the tested proxy; times are in seconds from the drain.
 #[derive(Clone, Copy, Debug)]
-enum Odd {
-    Answers,
+enum Behavior {
+    Acks,
     LeavesAt(f64),
-    /// It is silent, and its stream is found broken.
-    SilentUntil(f64),
-    Silent,
-    /// It leaves and joins again and again, and never answers between.
+    /// It sends no acks, and its stream is found broken at this time.
+    UnresponsiveUntil(f64),
+    Unresponsive,
+    /// It leaves and joins every second and sends no acks.
     Flaps,
-    /// It answers no mark but every so many.
-    AnswersEach(u16),
+    /// It answers only ack requests whose number is a multiple of this one.
+    AcksEvery(u16),
 }
 
-/// An assigner of 150 proxies with slices at server 0; the others are idle.
-fn large_fleet(slices: usize) -> Assigner {
-    let mut a = fleet(4, &vec![(0, 1.0); slices]);
-    a.proxies = (0..PROXIES).map(|id| (id, Proxy { zone: 0, joined: true, state_since: s(0.0) })).collect();
-    (a.cfg.lines_per_s, a.cfg.max_backlog_lines) = (40_000.0, 60_000.0);
-    a
+/// An assigner with 150 proxies and all slices at server 0; the other three servers are idle.
+fn assigner_with_many_proxies(slices: usize) -> Assigner {
+    let mut assigner = assigner_with(4, &vec![(0, 1.0); slices]);
+    assigner.proxies =
+        (0..PROXIES).map(|id| (id, Proxy { zone: 0, joined: true, state_since: secs(0.0) })).collect();
+    (assigner.cfg.lines_per_s, assigner.cfg.max_backlog_lines) = (40_000.0, 60_000.0);
+    assigner
 }
 
-/// Longest from the message that stops writes to the grant, by the settings: the message is known to have left and
-/// has arrived, a lease, and what is in hand.
-fn longest(a: &Assigner) -> Duration {
-    a.cfg.max_transit * 2 + a.cfg.write_lease + a.cfg.settle_time + STEP * 2
+/// Longest time from the message that stops writes to the grant, by the settings: one transit until the message is
+/// known to have left, one until it has arrived, the write lease, and the time in which RPCs in flight end.
+fn max_handover_time(assigner: &Assigner) -> Duration {
+    assigner.cfg.max_transit * 2 + assigner.cfg.write_lease + assigner.cfg.settle_time + STEP * 2
 }
 
-/// Answers to marks that are on their way.
+/// Acks that have been sent and have not arrived.
 #[derive(Default)]
-struct Answers(Vec<(Duration, ProxyId, u16)>);
+struct PendingAcks(Vec<(Duration, ProxyId, u16)>);
 
-impl Answers {
-    /// Those that have come by now.
+impl PendingAcks {
+    /// Removes and returns the acks that have arrived by now.
     fn due(&mut self, now: Duration) -> Vec<Event> {
         let due = self.0.extract_if(.., |(due, ..)| *due <= now);
-        due.map(|(_, proxy, mark)| Event::Acked { proxy, mark, way: ANSWERS_AFTER }).collect()
+        due.map(|(_, proxy, mark)| Event::Acked { proxy, mark, way: ACK_DELAY }).collect()
     }
 
-    /// All proxies answer the marks among some orders; the odd one where it does.
-    fn note(&mut self, now: Duration, orders: &[Order], odd_answers: impl Fn(u16) -> bool) {
+    /// Sends the acks that `orders` request, from all proxies; from the tested proxy only if `tested_acks` is true.
+    fn send(&mut self, now: Duration, orders: &[Order], tested_acks: impl Fn(u16) -> bool) {
         for order in orders {
             let Order::Mark { mark } = *order else { continue };
-            let answering = (0..PROXIES).filter(|proxy| *proxy != ODD || odd_answers(mark));
-            self.0.extend(answering.map(|proxy| (now + ANSWERS_AFTER, proxy, mark)));
+            let proxies = (0..PROXIES).filter(|proxy| *proxy != TESTED_PROXY || tested_acks(mark));
+            self.0.extend(proxies.map(|proxy| (now + ACK_DELAY, proxy, mark)));
         }
     }
 }
 
-fn granted(orders: &[Order]) -> Option<usize> {
+/// The server of the first grant among some orders.
+fn granted_server(orders: &[Order]) -> Option<usize> {
     orders.iter().find_map(|order| match order {
         Order::Grant { ep, .. } => Some(ep.index),
         _ => None,
     })
 }
 
-fn listed(server: usize, listed: Listed) -> Event {
-    let entry = Entry { ep: ep(server), zone: 0, listed, size: 1.0, started: None };
+/// A list update that changes the status of one server.
+fn list_update(server: usize, listed: Listed) -> Event {
+    let entry = Entry { ep: endpoint(server), zone: 0, listed, size: 1.0, started: None };
     Event::List { kind: ListKind::Changes, entries: vec![entry] }
 }
 
-/// From the drain of server 0 on: for how long slice 0 has no line.
-fn time_without_line(odd: Odd) -> Duration {
-    let mut a = large_fleet(1);
-    let begin = a.now;
-    let mut events = vec![listed(0, Listed::Draining)];
-    let (mut answers, mut cut) = (Answers::default(), None);
-    let (mut now, mut left) = (begin, false);
-    while now < begin + PLAY {
-        let since = now - begin;
-        let leaves = match odd {
-            Odd::LeavesAt(at) | Odd::SilentUntil(at) => since >= s(at),
-            Odd::Flaps => since.as_millis() % 1000 < 500,
-            Odd::Answers | Odd::Silent | Odd::AnswersEach(_) => false,
+/// Drains server 0 and returns for how long slice 0 has no line.
+fn time_without_line(behavior: Behavior) -> Duration {
+    let mut assigner = assigner_with_many_proxies(1);
+    let started_at = assigner.now;
+    let mut events = vec![list_update(0, Listed::Draining)];
+    let (mut pending_acks, mut revoked_at) = (PendingAcks::default(), None);
+    let (mut now, mut is_away) = (started_at, false);
+    while now < started_at + MAX_RUN_TIME {
+        let elapsed = now - started_at;
+        let should_be_away = match behavior {
+            Behavior::LeavesAt(at) | Behavior::UnresponsiveUntil(at) => elapsed >= secs(at),
+            Behavior::Flaps => elapsed.as_millis() % 1000 < 500,
+            Behavior::Acks | Behavior::Unresponsive | Behavior::AcksEvery(_) => false,
         };
-        if std::mem::replace(&mut left, leaves) != leaves {
-            let joined = Event::Joined { proxy: ODD, zone: 0 };
-            events.push(if leaves { Event::Left { proxy: ODD } } else { joined });
+        if std::mem::replace(&mut is_away, should_be_away) != should_be_away {
+            let joined = Event::Joined { proxy: TESTED_PROXY, zone: 0 };
+            events.push(if should_be_away { Event::Left { proxy: TESTED_PROXY } } else { joined });
         }
-        events.extend(answers.due(now));
+        events.extend(pending_acks.due(now));
         events.push(Event::Timer);
-        let orders = a.handle(now, &std::mem::take(&mut events));
-        answers.note(now, &orders, |mark| match odd {
-            Odd::Answers => true,
-            Odd::AnswersEach(each) => mark % each == 0,
+        let orders = assigner.handle(now, &std::mem::take(&mut events));
+        pending_acks.send(now, &orders, |mark| match behavior {
+            Behavior::Acks => true,
+            Behavior::AcksEvery(count) => mark % count == 0,
             _ => false,
         });
         if orders.iter().any(|order| matches!(order, Order::Revoke { .. })) {
-            cut = cut.or(Some(now));
+            revoked_at = revoked_at.or(Some(now));
         }
-        if granted(&orders).is_some() {
-            return cut.map_or(Duration::ZERO, |cut| now - cut);
+        if granted_server(&orders).is_some() {
+            return revoked_at.map_or(Duration::ZERO, |at| now - at);
         }
         now += STEP;
     }
-    PLAY
+    MAX_RUN_TIME
 }
 
 #[test]
-fn proxies_that_answer_are_all_that_a_grant_waits_for() {
-    let took = time_without_line(Odd::Answers);
-    assert!(took <= s(2.5), "{took:?}");
+fn grant_follows_soon_when_all_proxies_ack() {
+    let took = time_without_line(Behavior::Acks);
+    assert!(took <= secs(2.5), "{took:?}");
 }
 
 #[test]
-fn a_proxy_that_leaves_late_takes_the_line_away_for_its_lease_at_most() {
-    let took = time_without_line(Odd::LeavesAt(1.9));
-    assert!(took <= longest(&large_fleet(1)), "{took:?}");
+fn proxy_that_leaves_late_delays_grant_by_at_most_its_lease() {
+    let took = time_without_line(Behavior::LeavesAt(1.9));
+    assert!(took <= max_handover_time(&assigner_with_many_proxies(1)), "{took:?}");
 }
 
 #[test]
-fn a_silent_proxy_whose_stream_is_found_broken_starts_no_further_lease() {
-    let took = time_without_line(Odd::SilentUntil(5.0));
-    assert!(took <= longest(&large_fleet(1)), "{took:?}");
+fn disconnect_detected_late_starts_no_second_lease() {
+    let took = time_without_line(Behavior::UnresponsiveUntil(5.0));
+    assert!(took <= max_handover_time(&assigner_with_many_proxies(1)), "{took:?}");
 }
 
 #[test]
-fn a_silent_proxy_does_not_take_the_line_away_for_ever() {
-    let took = time_without_line(Odd::Silent);
-    assert!(took <= longest(&large_fleet(1)), "{took:?}");
+fn unresponsive_proxy_delays_grant_for_bounded_time() {
+    let took = time_without_line(Behavior::Unresponsive);
+    assert!(took <= max_handover_time(&assigner_with_many_proxies(1)), "{took:?}");
 }
 
 #[test]
-fn a_proxy_that_flaps_does_not_take_the_line_away_for_ever() {
-    let took = time_without_line(Odd::Flaps);
-    assert!(took <= longest(&large_fleet(1)), "{took:?}");
+fn flapping_proxy_delays_grant_for_bounded_time() {
+    let took = time_without_line(Behavior::Flaps);
+    assert!(took <= max_handover_time(&assigner_with_many_proxies(1)), "{took:?}");
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_again() {
-    // The stop carries the first mark.
-    let took = time_without_line(Odd::AnswersEach(2));
-    assert!(took <= s(4.0), "{took:?}");
+fn lost_ack_is_requested_again() {
+    // The write stop carries the first ack request, which the tested proxy does not answer.
+    let took = time_without_line(Behavior::AcksEvery(2));
+    assert!(took <= secs(4.0), "{took:?}");
 }
 
-/// All proxies answer nothing: then nobody knows whether the stop was carried out.
+/// Without any ack it is not known whether the write stop was applied at any proxy.
 #[test]
-fn no_grant_comes_before_any_proxy_has_shown_that_writes_were_stopped() {
-    let mut a = fleet(3, &[(0, 1.0)]);
-    a.start_handover(0, Some(1), true);
+fn no_grant_is_ordered_before_any_proxy_acks_write_stop() {
+    let mut assigner = assigner_with(3, &[(0, 1.0)]);
+    assigner.start_handover(0, Some(1), true);
     for step in 0..400 {
-        let orders = a.handle(s(100.0) + STEP * step, &[Event::Timer]);
+        let orders = assigner.handle(secs(100.0) + STEP * step, &[Event::Timer]);
         assert!(!orders.iter().any(|order| matches!(order, Order::Grant { .. })), "step {step}");
     }
 }
 
-/// Levels, plans and drains keep the channel fuller than grants may find it.
+/// Levels, plans and drains keep the channel fuller than the fill below which grants are ordered. The grant must still
+/// come before a proxy may have no line for too long.
 #[test]
-fn a_full_channel_does_not_keep_a_line_away_for_longer_than_the_rule_allows() {
-    let mut a = fleet(3, &[(0, 1.0)]);
-    a.cfg.max_time_without_line = s(9.0);
-    a.start_handover(0, Some(1), true);
-    let begin = a.now;
+fn full_channel_delays_grant_no_longer_than_allowed_time_without_line() {
+    let mut assigner = assigner_with(3, &[(0, 1.0)]);
+    assigner.cfg.max_time_without_line = secs(9.0);
+    assigner.start_handover(0, Some(1), true);
+    let started_at = assigner.now;
     let mut events = vec![Event::Timer];
     for step in 0..600 {
-        let now = begin + STEP * step;
-        a.channel.queued_lines = 0.5 * a.cfg.max_backlog_lines;
-        let orders = a.handle(now, &std::mem::take(&mut events));
+        let now = started_at + STEP * step;
+        assigner.channel.queued_lines = 0.5 * assigner.cfg.max_backlog_lines;
+        let orders = assigner.handle(now, &std::mem::take(&mut events));
         if orders.iter().any(|order| matches!(order, Order::Grant { .. })) {
-            assert!(now + a.cfg.max_transit < begin + a.cfg.max_time_without_line, "{:?}", now - begin);
+            assert!(
+                now + assigner.cfg.max_transit < started_at + assigner.cfg.max_time_without_line,
+                "{:?}",
+                now - started_at
+            );
             return;
         }
         let marks = orders.iter().filter_map(|order| match order {
             Order::Mark { mark } => Some(*mark),
             _ => None,
         });
-        events.extend(marks.flat_map(|mark| [0, 1].map(|proxy| Event::Acked { proxy, mark, way: s(0.3) })));
+        events
+            .extend(marks.flat_map(|mark| [0, 1].map(|proxy| Event::Acked { proxy, mark, way: secs(0.3) })));
         events.push(Event::Timer);
     }
     panic!("no grant");
 }
 
-/// An assigner is given a slice, with a line that the store names or without one, and one proxy is silent.
-fn time_to_grant_what_is_given(stored: bool) -> Duration {
-    let mut a = large_fleet(1);
-    a.cfg.total_proxies = PROXIES as usize;
-    let begin = a.now;
+/// The time from acquiring a slice, with a line in the store or without one, to its grant, while one proxy is
+/// unresponsive. A stored owner is gone.
+fn time_to_grant_acquired_slice(stored: bool) -> Duration {
+    let mut assigner = assigner_with_many_proxies(1);
+    assigner.cfg.total_proxies = PROXIES as usize;
+    let started_at = assigner.now;
     let mut events = vec![Event::Given { slice: 0 }];
     if stored {
-        events.extend([Event::Stored { slice: 0, ep: ep(0) }, listed(0, Listed::Gone)]);
+        events.extend([Event::Stored { slice: 0, ep: endpoint(0) }, list_update(0, Listed::Gone)]);
     }
-    let (mut answers, mut now) = (Answers::default(), begin);
-    while now < begin + PLAY {
-        events.extend(answers.due(now));
+    let (mut pending_acks, mut now) = (PendingAcks::default(), started_at);
+    while now < started_at + MAX_RUN_TIME {
+        events.extend(pending_acks.due(now));
         events.push(Event::Timer);
-        let orders = a.handle(now, &std::mem::take(&mut events));
-        answers.note(now, &orders, |_| false);
-        if granted(&orders).is_some() {
-            return now - begin;
+        let orders = assigner.handle(now, &std::mem::take(&mut events));
+        pending_acks.send(now, &orders, |_| false);
+        if granted_server(&orders).is_some() {
+            return now - started_at;
         }
         now += STEP;
     }
-    PLAY
+    MAX_RUN_TIME
 }
 
 #[test]
-fn a_silent_proxy_does_not_hold_up_a_slice_that_comes_without_a_line() {
-    let took = time_to_grant_what_is_given(false);
-    assert!(took <= longest(&large_fleet(1)), "{took:?}");
+fn unresponsive_proxy_delays_slice_acquired_without_line_for_bounded_time() {
+    let took = time_to_grant_acquired_slice(false);
+    assert!(took <= max_handover_time(&assigner_with_many_proxies(1)), "{took:?}");
 }
 
 #[test]
-fn a_silent_proxy_does_not_hold_up_a_slice_whose_stored_owner_is_gone() {
-    let took = time_to_grant_what_is_given(true);
-    assert!(took <= longest(&large_fleet(1)), "{took:?}");
+fn unresponsive_proxy_delays_slice_with_gone_stored_owner_for_bounded_time() {
+    let took = time_to_grant_acquired_slice(true);
+    assert!(took <= max_handover_time(&assigner_with_many_proxies(1)), "{took:?}");
 }
 
-/// The destination drains while a silent proxy is waited for.
+/// The destination drains while the handover waits for an unresponsive proxy.
 #[test]
-fn a_destination_that_goes_during_the_wait_costs_no_second_one() {
-    let mut a = large_fleet(1);
-    let begin = a.now;
-    a.start_handover(0, Some(1), true);
-    let (mut answers, mut now) = (Answers::default(), begin);
+fn destination_that_drains_during_wait_is_replaced_without_second_wait() {
+    let mut assigner = assigner_with_many_proxies(1);
+    let started_at = assigner.now;
+    assigner.start_handover(0, Some(1), true);
+    let (mut pending_acks, mut now) = (PendingAcks::default(), started_at);
     let to = loop {
-        let mut events = answers.due(now);
+        let mut events = pending_acks.due(now);
         events.push(Event::Timer);
-        if now - begin == s(3.0) {
-            events.push(listed(1, Listed::Draining));
+        if now - started_at == secs(3.0) {
+            events.push(list_update(1, Listed::Draining));
         }
-        let orders = a.handle(now, &events);
-        if let Some(to) = granted(&orders) {
+        let orders = assigner.handle(now, &events);
+        if let Some(to) = granted_server(&orders) {
             break to;
         }
-        answers.note(now, &orders, |_| false);
+        pending_acks.send(now, &orders, |_| false);
         now += STEP;
-        assert!(now <= begin + longest(&a), "no grant");
+        assert!(now <= started_at + max_handover_time(&assigner), "no grant");
     };
     assert_ne!(to, 1);
 }
 
-/// The channel may run slower than reckoned: one more answer to the same mark tells nothing of the messages behind it.
+/// The channel may run slower than estimated: one more ack of the same request shows nothing about later messages.
 #[test]
-fn further_answers_to_the_stop_do_not_make_it_sent_earlier() {
-    let mut a = large_fleet(1);
-    let begin = a.now;
-    a.start_handover(0, Some(1), false);
-    a.handle(begin, &[Event::Timer]);
-    let answer = |proxy| Event::Acked { proxy, mark: 1, way: s(0.1) };
-    let sent = |a: &Assigner| a.slices[0].handover.as_ref().and_then(|handover| handover.stop_sent_by);
-    a.handle(begin + s(0.1), &[answer(0)]);
-    let first = sent(&a);
-    a.handle(begin + s(0.2), &[Event::Timer]);
-    a.handle(begin + s(0.25), &[answer(1)]);
-    assert!(first > Some(begin + s(0.25)) && sent(&a) == first, "{first:?} {:?}", sent(&a));
+fn further_acks_of_write_stop_do_not_lower_its_send_estimate() {
+    let mut assigner = assigner_with_many_proxies(1);
+    let started_at = assigner.now;
+    assigner.start_handover(0, Some(1), false);
+    assigner.handle(started_at, &[Event::Timer]);
+    let ack = |proxy| Event::Acked { proxy, mark: 1, way: secs(0.1) };
+    let stop_sent_by =
+        |assigner: &Assigner| assigner.slices[0].handover.as_ref().and_then(|handover| handover.stop_sent_by);
+    assigner.handle(started_at + secs(0.1), &[ack(0)]);
+    let first = stop_sent_by(&assigner);
+    assigner.handle(started_at + secs(0.2), &[Event::Timer]);
+    assigner.handle(started_at + secs(0.25), &[ack(1)]);
+    assert!(
+        first > Some(started_at + secs(0.25)) && stop_sent_by(&assigner) == first,
+        "{first:?} {:?}",
+        stop_sent_by(&assigner)
+    );
 }
