--- a/crates/whinhill/src/assigner/admission/tests.rs
+++ b/crates/whinhill/src/assigner/admission/tests.rs
@@ -1,27 +1,27 @@
-//! What is let in at servers whose queues grow or drain.
+//! Admission at servers whose queues grow or drain, and at cold servers.
 
-use super::super::tests::{ep, fleet, s};
+use super::super::tests::{assigner_with, endpoint, secs};
 use super::*;
 
 const PERIOD: f64 = 1.0;
 
-/// What a server tells of its load: RPCs that it holds and those of them that wait, on four cores.
-fn load(in_hand: f64, waiting: f64) -> LoadReport {
-    let cpu = Some((in_hand - waiting) / 4.0);
-    LoadReport { cpu, in_hand: Some(in_hand), waiting: Some(waiting), service: None }
+/// The load report of a server with four cores: its RPCs in flight, and those of them that are queued.
+fn load(in_flight: f64, queued: f64) -> LoadReport {
+    let cpu = Some((in_flight - queued) / 4.0);
+    LoadReport { cpu, in_hand: Some(in_flight), waiting: Some(queued), service: None }
 }
 
-/// A period in which the server answers so many RPCs in so many seconds each, then tells of its load.
-fn period(assigner: &mut Assigner, number: u32, oks: u64, wait: f64, load: LoadReport) -> Vec<Order> {
-    let span = s(PERIOD);
-    let met = Event::Met { ep: ep(0), zone: 0, tries: oks, lost: 0, wait: s(wait), span, load };
+/// Runs one period in which server 0 answers `oks` RPCs after `wait` seconds each and then reports its load.
+fn run_period(assigner: &mut Assigner, number: u32, oks: u64, wait: f64, load: LoadReport) -> Vec<Order> {
+    let span = secs(PERIOD);
+    let tries = Event::Met { ep: endpoint(0), zone: 0, tries: oks, lost: 0, wait: secs(wait), span, load };
     let demand = Event::Demand { slice: 0, method: 0, rpcs: 40, lost: 0, span };
-    let probed = Event::Probed { ep: ep(0), result: Probe::Ok, load };
-    assigner.handle(s(101.0) + s(PERIOD) * number, &[met, demand, probed])
+    let probed = Event::Probed { ep: endpoint(0), result: Probe::Ok, load };
+    assigner.handle(secs(101.0) + secs(PERIOD) * number, &[tries, demand, probed])
 }
 
-/// The lowest share that is ordered.
-fn least_level(orders: &[Order]) -> f64 {
+/// The lowest level that is ordered; 1.0 if none is.
+fn lowest_level(orders: &[Order]) -> f64 {
     let levels = orders.iter().filter_map(|order| match order {
         Order::Level { share, .. } => Some(*share),
         _ => None,
@@ -29,45 +29,45 @@
     levels.fold(1.0, f64::min)
 }
 
-/// Guards against a queue that grows until answers are late before anything is refused.
+/// A growing queue must lead to rejections before answers are late.
 #[test]
-fn a_queue_that_a_server_reports_is_cut_before_answers_come_late() {
-    let mut assigner = fleet(2, &[(0, 40.0)]);
+fn reported_queue_lowers_level_before_answers_are_late() {
+    let mut assigner = assigner_with(2, &[(0, 40.0)]);
     for number in 0..3 {
-        assert_eq!(least_level(&period(&mut assigner, number, 40, 0.1, load(3.0, 0.0))), 1.0);
+        assert_eq!(lowest_level(&run_period(&mut assigner, number, 40, 0.1, load(3.0, 0.0))), 1.0);
     }
-    // Six rounds of RPCs at 0.1 s each wait there; those that have been answered so far did not wait yet.
-    let orders = period(&mut assigner, 3, 40, 0.1, load(28.0, 24.0));
-    assert!(least_level(&orders) < 0.9, "{orders:?}");
+    // The queue is six times what the server runs at once, at 0.1 s each; the RPCs answered so far were not queued.
+    let orders = run_period(&mut assigner, 3, 40, 0.1, load(28.0, 24.0));
+    assert!(lowest_level(&orders) < 0.9, "{orders:?}");
 }
 
-/// Guards against a server that stays shut for periods after its queue has drained.
+/// A server whose queue has drained must not be limited for several more periods.
 #[test]
-fn what_an_idle_server_could_do_is_let_in_again_soon() {
-    let mut assigner = fleet(2, &[(0, 40.0)]);
+fn level_recovers_soon_after_queue_has_drained() {
+    let mut assigner = assigner_with(2, &[(0, 40.0)]);
     for number in 0..3 {
-        period(&mut assigner, number, 40, 0.1, load(3.0, 0.0));
+        run_period(&mut assigner, number, 40, 0.1, load(3.0, 0.0));
     }
-    period(&mut assigner, 3, 40, 0.1, load(44.0, 40.0));
+    run_period(&mut assigner, 3, 40, 0.1, load(44.0, 40.0));
     for number in 4..8 {
         let mark = assigner.channel.last_ack_seq as u16;
-        let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark, way: s(0.1) });
-        assigner.handle(s(100.5) + s(PERIOD) * number, &acks);
-        period(&mut assigner, number, 30, 0.1, load(2.0, 0.0));
+        let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark, way: secs(0.1) });
+        assigner.handle(secs(100.5) + secs(PERIOD) * number, &acks);
+        run_period(&mut assigner, number, 30, 0.1, load(2.0, 0.0));
     }
-    let told = &assigner.slices[0].published_levels;
-    assert!(told.iter().all(|share| *share >= 0.95), "{told:?}");
+    let published = &assigner.slices[0].published_levels;
+    assert!(published.iter().all(|share| *share >= 0.95), "{published:?}");
 }
 
-/// Guards against a cold server that is pushed over by slices that were granted after its last report.
+/// Slices that were granted after the last report of a cold server must not overload it.
 #[test]
-fn what_was_just_granted_to_a_cold_server_is_let_in_only_in_part() {
-    let mut assigner = fleet(2, &[(0, 20.0), (1, 40.0)]);
+fn slice_just_granted_to_cold_server_is_admitted_only_in_part() {
+    let mut assigner = assigner_with(2, &[(0, 20.0), (1, 40.0)]);
     assigner.servers[0].cpu = Some((0.5, assigner.now));
     assigner.servers[1].cpu = Some((0.1, assigner.now));
     assigner.servers[1].started_at = Some(assigner.now);
     let offered = assigner.load_snapshot().own_loads[1];
     assigner.set_criticality_cutoffs();
-    let let_in = offered * (1.0 - assigner.servers[1].rejected_fraction);
-    assert!(offered > MAX_COLD_LOAD && let_in <= MAX_COLD_LOAD, "{let_in:.2} of {offered:.2}");
+    let admitted = offered * (1.0 - assigner.servers[1].rejected_fraction);
+    assert!(offered > MAX_COLD_LOAD && admitted <= MAX_COLD_LOAD, "{admitted:.2} of {offered:.2}");
 }
--- a/crates/whinhill/src/assigner/evacuation/tests.rs
+++ b/crates/whinhill/src/assigner/evacuation/tests.rs
@@ -1,20 +1,20 @@
-//! Where slices go when servers leave and no other has room.
+//! Destinations of slices whose server drains while no other server has headroom.
 
-use super::super::tests::{ep, fleet, s};
+use super::super::tests::{assigner_with, endpoint, secs};
 use super::*;
 
 const ASSIGNERS: usize = 5;
-/// Slices that leave, and one that each assigner has at the warm server.
+/// Slices at the draining server; each assigner has one more slice, at the warm server.
 const LEAVING: usize = 25;
 const SLICES: usize = LEAVING + ASSIGNERS;
-/// One drains, one is warm and nearly full, and the others have just started.
+/// One server drains, one is warm and nearly full, and the others have just started.
 const SERVERS: usize = 11;
 const DRAINING: usize = 0;
 const WARM: usize = 1;
 
-/// One of five assigners: it has each fifth slice, and no server has room for what leaves the one that drains.
+/// One of five assigners, with every fifth slice. No server has headroom for the slices of the draining server.
 fn one_of_five(number: usize) -> Assigner {
-    let mut assigner = fleet(SERVERS, &[(DRAINING, 20.0); SLICES]);
+    let mut assigner = assigner_with(SERVERS, &[(DRAINING, 20.0); SLICES]);
     assigner.slices[LEAVING..].iter_mut().for_each(|slice| slice.owner = Some(WARM));
     for slice in (0..SLICES).filter(|slice| slice % ASSIGNERS != number) {
         assigner.slices[slice] = Slice::default();
@@ -29,51 +29,56 @@
     assigner
 }
 
-/// Lets the drain of all slices take its way; the grants.
-fn drained(assigner: &mut Assigner) -> Vec<usize> {
-    let mut orders = assigner.handle(s(100.0), &[Event::Timer]);
-    let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark: 1, way: s(0.3) });
-    orders.extend(assigner.handle(s(100.3), &acks));
-    orders.extend(assigner.handle(s(101.6), &[Event::Timer]));
-    let granted = orders.iter().filter_map(|order| match order {
+/// Runs the drain of all slices; returns the servers that were granted them.
+fn run_drain(assigner: &mut Assigner) -> Vec<usize> {
+    let mut orders = assigner.handle(secs(100.0), &[Event::Timer]);
+    let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark: 1, way: secs(0.3) });
+    orders.extend(assigner.handle(secs(100.3), &acks));
+    orders.extend(assigner.handle(secs(101.6), &[Event::Timer]));
+    let destinations = orders.iter().filter_map(|order| match order {
         Order::Grant { ep, .. } => Some(ep.index),
         _ => None,
     });
-    granted.collect()
+    destinations.collect()
 }
 
-/// Guards against assigners that all send what leaves a release to the one warm server, whatever it has already.
+/// In a release, the assigners must not all move the slices of draining servers to the one warm server, whatever its
+/// load.
 #[test]
-fn slices_without_room_do_not_crowd_onto_the_only_warm_server() {
-    let granted: Vec<usize> = (0..ASSIGNERS).flat_map(|number| drained(&mut one_of_five(number))).collect();
+fn slices_without_headroom_do_not_all_move_to_only_warm_server() {
+    let granted: Vec<usize> = (0..ASSIGNERS).flat_map(|number| run_drain(&mut one_of_five(number))).collect();
     assert_eq!(granted.len(), LEAVING);
     for server in 0..SERVERS {
-        let here = granted.iter().filter(|granted| **granted == server).count();
-        assert!(here * 2 < LEAVING, "{here} of {LEAVING} slices at server {server}: {granted:?}");
+        let slices_here = granted.iter().filter(|granted| **granted == server).count();
+        assert!(
+            slices_here * 2 < LEAVING,
+            "{slices_here} of {LEAVING} slices at server {server}: {granted:?}"
+        );
     }
 }
 
-/// Guards against a destination that was chosen before the servers that replace the drained ones had answered a probe.
+/// The destination must not be chosen before the servers that replace the drained ones have answered a probe.
 #[test]
-fn servers_that_are_seen_to_serve_before_the_grant_count_as_destinations() {
+fn servers_confirmed_before_grant_become_destinations() {
     let mut assigner = one_of_five(0);
     assigner.servers[WARM + 1..].iter_mut().for_each(|server| server.seen_serving = false);
-    let mut orders = assigner.handle(s(100.0), &[Event::Timer]);
-    let answered = |server| Event::Probed { ep: ep(server), result: Probe::Ok, load: LoadReport::default() };
-    let answers: Vec<Event> = (WARM + 1..SERVERS).map(answered).collect();
-    orders.extend(assigner.handle(s(100.2), &answers));
-    let granted = drained(&mut assigner);
+    let mut orders = assigner.handle(secs(100.0), &[Event::Timer]);
+    let answer =
+        |server| Event::Probed { ep: endpoint(server), result: Probe::Ok, load: LoadReport::default() };
+    let answers: Vec<Event> = (WARM + 1..SERVERS).map(answer).collect();
+    orders.extend(assigner.handle(secs(100.2), &answers));
+    let granted = run_drain(&mut assigner);
     assert_eq!(granted.len(), LEAVING / ASSIGNERS);
     assert!(granted.iter().any(|server| *server != WARM), "{granted:?}");
 }
 
-/// Guards against cold servers that are pushed over where no level holds them to their budgets.
+/// Cold servers must not be overloaded when no level limits them to their budgets.
 #[test]
-fn without_levels_slices_that_fit_nowhere_stay_away_from_cold_servers() {
+fn slices_without_headroom_avoid_cold_servers_when_levels_are_no_shares() {
     for admission in [Admission::Off, Admission::Rate] {
         let mut assigner = one_of_five(0);
         assigner.cfg.admission = admission;
-        let granted = drained(&mut assigner);
+        let granted = run_drain(&mut assigner);
         assert_eq!(granted, [WARM; LEAVING / ASSIGNERS], "{admission:?}");
     }
 }
