--- a/crates/whinhill-platform/src/relay.rs
+++ b/crates/whinhill-platform/src/relay.rs
@@ -1,4 +1,5 @@
-//! The relay, which keeps the proxies' streams and the store: orders out by calls, what happened in by news.
+//! Protocol of the relay, which holds the proxies' streams and the store: calls carry orders to it, and the watch
+//! stream reports what happened.
 
 pub mod calls;
 pub mod news;
--- a/crates/whinhill-platform/src/relay/calls.rs
+++ b/crates/whinhill-platform/src/relay/calls.rs
@@ -1,8 +1,9 @@
-//! Calls to the relay: orders wait in line, one call at a time is under way, and each has one of three outcomes.
+//! Calls to the relay. Orders are queued, one call at a time is in flight, and each call has one of three outcomes:
+//! applied, not applied, or unknown.
 //!
-//! A call that was not carried out, or whose outcome is unknown, is sent again with the same orders, before
-//! any later one. That is safe: between the two nobody else writes to a slice of ours, so the second sets what
-//! the first may have set already; and when a slice is taken away its orders are dropped.
+//! A call that was not applied, or whose outcome is unknown, is sent again with the same orders before any later
+//! order. This is safe: nobody else writes to a slice in our custody between the two calls, so the second call sets
+//! what the first may have set already. When a slice is released, its orders are dropped.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,209 +14,226 @@
 use super::news::Owed;
 use super::orders::RelayOrder;
 
-/// Bytes of orders that one call may carry; the protocol's own bound.
-const CALL_MOST: usize = 60_000;
-/// Wait after a call that the relay turned away: it does so until the run begins, and asking is cheap.
-const TURNED_AWAY: Duration = Duration::from_millis(100);
-/// Wait after a call that could not be sent. Shorter: a relay that is down is hammered by connections.
-const UNREACHED: Duration = Duration::from_millis(50);
-/// How often orders are sent again after the relay named them an error of its own.
-const ERRORS_MOST: u32 = 5;
-/// Marks whose times are remembered: far more than can wait for their answers at a time.
-const MARKS_MOST: usize = 1024;
-/// Added to an answer's time when it is not known which of several calls it answers: "just now".
-const LONG_AGO: Duration = Duration::from_secs(3600);
+/// Maximum size of the orders in one call, as the protocol defines it.
+const MAX_CALL_BYTES: usize = 60_000;
+/// Delay after a call that the relay refused. It refuses calls until the run begins, and a call is cheap.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay after a call that could not be sent. A shorter one would flood a relay that is down with connections.
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Error answers since the last good one after which the orders of the call are dropped, unless the error is
+/// `throttled`.
+const MAX_ERRORS: u32 = 5;
+/// Ack sequence numbers whose times are kept: far more than can await acknowledgement at a time.
+const MAX_TRACKED_ACKS: usize = 1024;
+/// Upper bound of the transit times that are reported. It is also reported where it is not known which of several
+/// calls an acknowledgement answers: the assigner then takes the orders to have taken effect just now.
+const MAX_TRANSIT: Duration = Duration::from_secs(3600);
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
+    /// All orders were applied.
     Done,
-    /// Carried out up to an order that was then dropped.
+    /// The orders before `dropped` were applied. The relay rejected `dropped`, and it is not sent again.
     Short {
+        /// The rejected order.
         dropped: RelayOrder,
     },
-    /// The relay takes no calls yet, or failed.
+    /// No order was applied: the relay does not accept calls yet, it reported an error, or the call was not sent.
     NotDone {
+        /// The relay's error text, or why the call was not sent.
         reason: String,
     },
-    /// Carried out wholly, or not at all.
+    /// Either all orders were applied or none.
     Unknown,
 }
 
-/// A slice's line at a server, set or ended in the store.
+/// A line that the store is known to have set or removed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SetLine {
+pub struct ConfirmedLine {
+    /// The slice that the line belongs to.
     pub slice: SliceId,
+    /// The server that the line names.
     pub server: String,
+    /// Whether the line was set; otherwise it was removed.
     pub on: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedOrder {
     order: RelayOrder,
-    ordered: Duration,
-    /// It has left in a call that may have been carried out.
-    in_doubt: bool,
+    ordered_at: Duration,
+    /// The order was part of a call whose outcome is unknown.
+    maybe_applied: bool,
 }
 
 #[derive(Debug)]
-struct UnderWay {
-    orders: Vec<Waiting>,
-    /// Slices taken away meanwhile: what is for them is not sent again.
-    void: BTreeSet<SliceId>,
+struct InFlightCall {
+    orders: Vec<QueuedOrder>,
+    /// Slices that were released since the call was sent. Their orders are not sent again.
+    released: BTreeSet<SliceId>,
 }
 
-/// When a mark was ordered, and when the call that carried it had surely been taken.
+/// When an ack was requested, and by when the call that carried the request had certainly been accepted.
 #[derive(Clone, Copy, Debug)]
-struct MarkTimes {
-    mark: u16,
-    ordered: Duration,
-    carried: Option<Duration>,
+struct AckTimes {
+    ack_seq: u16,
+    ordered_at: Duration,
+    accepted_at: Option<Duration>,
 }
 
+/// The queue of orders for the relay and the call in flight.
 #[derive(Debug, Default)]
 pub struct Calls {
-    waiting: VecDeque<Waiting>,
-    under_way: Option<UnderWay>,
-    not_before: Duration,
+    queue: VecDeque<QueuedOrder>,
+    in_flight: Option<InFlightCall>,
+    retry_at: Duration,
     errors: u32,
-    /// When a call came into doubt last.
-    doubted: Duration,
-    marks: VecDeque<MarkTimes>,
-    last_mark: Option<u16>,
-    /// Lines that the store is known to have set or ended since the last look.
-    confirmed: Vec<SetLine>,
+    /// When the outcome of a call was last found to be unknown.
+    unknown_since: Duration,
+    ack_times: VecDeque<AckTimes>,
+    last_ack_seq: Option<u16>,
+    /// Lines confirmed by the store since [`Calls::take_confirmed`] was last called.
+    confirmed: Vec<ConfirmedLine>,
+    /// Number of calls whose outcome was unknown.
     pub unknown: u64,
+    /// Number of orders that were dropped because the relay did not accept them.
     pub dropped: u64,
 }
 
 impl Calls {
-    /// Puts the orders of one reply in line. Where they replace some that still wait, those go.
+    /// Queues the orders of one reply. Queued orders that they supersede are removed.
     pub fn push(&mut self, now: Duration, orders: impl IntoIterator<Item = RelayOrder>) {
         for order in orders {
-            let mut ordered = now;
+            let mut ordered_at = now;
             match &order {
-                // The end of another server's line stays: where slices are not exclusive nothing else ends it.
-                RelayOrder::Line { slice, server, on: true } => self.waiting.retain(
-                    |w| !matches!(&w.order, RelayOrder::Line { slice: s, server: other, on } if s == slice && (*on || other == server)),
-                ),
-                RelayOrder::Level { slice, methods, .. } => self.waiting.retain(|w| {
-                    !matches!(&w.order, RelayOrder::Level { slice: s, methods: m, .. } if s == slice && m == methods)
+                // The removal of another server's line stays queued: where slices are not exclusive, nothing else
+                // removes that line.
+                RelayOrder::Line { slice, server, on: true } => self.queue.retain(|queued| {
+                    !matches!(
+                        &queued.order,
+                        RelayOrder::Line { slice: s, server: other, on } if s == slice && (*on || other == server)
+                    )
                 }),
-                RelayOrder::Mark(mark) => {
-                    // Its answer stands for the earlier one's too, whose orders were given earlier.
-                    for earlier in self.waiting.iter().filter(|w| matches!(w.order, RelayOrder::Mark(_))) {
-                        ordered = ordered.min(earlier.ordered);
+                RelayOrder::Level { slice, methods, .. } => self.queue.retain(|queued| {
+                    !matches!(&queued.order, RelayOrder::Level { slice: s, methods: m, .. } if s == slice && m == methods)
+                }),
+                RelayOrder::Mark(ack_seq) => {
+                    // The answer to this request also covers the earlier one, whose orders are older.
+                    for earlier in self.queue.iter().filter(|q| matches!(q.order, RelayOrder::Mark(_))) {
+                        ordered_at = ordered_at.min(earlier.ordered_at);
                     }
-                    self.waiting.retain(|w| !matches!(w.order, RelayOrder::Mark(_)));
-                    self.note_mark(*mark, ordered);
+                    self.queue.retain(|q| !matches!(q.order, RelayOrder::Mark(_)));
+                    self.track_ack(*ack_seq, ordered_at);
                 }
                 RelayOrder::Line { on: false, .. } => {}
             }
-            self.waiting.push_back(Waiting { order, ordered, in_doubt: false });
+            self.queue.push_back(QueuedOrder { order, ordered_at, maybe_applied: false });
         }
     }
 
-    /// Has every proxy answer the last mark again: answers may have been lost with the news.
+    /// Requests the last ack from every proxy again, because answers may have been lost with the watch stream.
     pub fn mark_again(&mut self, now: Duration) {
-        if let Some(mark) = self.last_mark {
-            self.push(now, [RelayOrder::Mark(mark)]);
-            self.note_mark(mark, now.saturating_sub(LONG_AGO));
+        if let Some(ack_seq) = self.last_ack_seq {
+            self.push(now, [RelayOrder::Mark(ack_seq)]);
+            self.track_ack(ack_seq, now.saturating_sub(MAX_TRANSIT));
         }
     }
 
-    fn note_mark(&mut self, mark: u16, ordered: Duration) {
-        self.marks.retain(|m| m.mark != mark);
-        self.marks.push_back(MarkTimes { mark, ordered, carried: None });
-        if self.marks.len() > MARKS_MOST {
-            self.marks.pop_front();
+    fn track_ack(&mut self, ack_seq: u16, ordered_at: Duration) {
+        self.ack_times.retain(|times| times.ack_seq != ack_seq);
+        self.ack_times.push_back(AckTimes { ack_seq, ordered_at, accepted_at: None });
+        if self.ack_times.len() > MAX_TRACKED_ACKS {
+            self.ack_times.pop_front();
         }
-        self.last_mark = Some(mark);
+        self.last_ack_seq = Some(ack_seq);
     }
 
-    /// The text of the next call, if one is due. It counts as under way from now on.
+    /// Starts the next call if one is due, and returns its text.
     pub fn next_call(&mut self, now: Duration, names: &Names) -> Option<String> {
-        if !self.due(now) {
+        if !self.is_call_due(now) {
             return None;
         }
         let (mut text, mut orders) = ("APPLY ".to_string(), Vec::new());
-        while let Some(waiting) = self.waiting.front() {
+        while let Some(queued) = self.queue.front() {
             let before = text.len();
             if !orders.is_empty() {
                 text.push(';');
             }
-            waiting.order.write(&mut text, names);
-            if text.len() > CALL_MOST {
+            queued.order.write(&mut text, names);
+            if text.len() > MAX_CALL_BYTES {
                 text.truncate(before);
                 break;
             }
-            orders.extend(self.waiting.pop_front());
+            orders.extend(self.queue.pop_front());
         }
         text.push_str("\r\n");
-        self.under_way = Some(UnderWay { orders, void: BTreeSet::new() });
+        self.in_flight = Some(InFlightCall { orders, released: BTreeSet::new() });
         Some(text)
     }
 
-    /// The relay could not be reached: the next try waits a little.
+    /// Delays the next call, because the relay could not be reached.
     pub fn pause(&mut self, now: Duration) {
-        self.not_before = self.not_before.max(now + UNREACHED);
+        self.retry_at = self.retry_at.max(now + UNREACHABLE_RETRY_DELAY);
     }
 
     /// Whether a call may start now.
-    pub fn due(&self, now: Duration) -> bool {
-        self.under_way.is_none() && !self.waiting.is_empty() && now >= self.not_before
+    pub fn is_call_due(&self, now: Duration) -> bool {
+        self.in_flight.is_none() && !self.queue.is_empty() && now >= self.retry_at
     }
 
-    /// When a call may start, if any orders wait and none is under way.
+    /// When the next call may start; `None` if no orders are queued or a call is in flight.
     pub fn due_at(&self) -> Option<Duration> {
-        (self.under_way.is_none() && !self.waiting.is_empty()).then_some(self.not_before)
+        (self.in_flight.is_none() && !self.queue.is_empty()).then_some(self.retry_at)
     }
 
-    /// How many of the orders that wait may have been carried out already, and since when that is not known.
+    /// How many of the queued orders may have been applied already, and since when that is unknown.
     pub fn in_doubt(&self) -> Option<(usize, Duration)> {
-        let orders = self.waiting.iter().filter(|w| w.in_doubt).count();
-        (orders > 0).then_some((orders, self.doubted))
+        let orders = self.queue.iter().filter(|q| q.maybe_applied).count();
+        (orders > 0).then_some((orders, self.unknown_since))
     }
 
+    /// Whether a call is in flight.
     pub fn under_way(&self) -> bool {
-        self.under_way.is_some()
+        self.in_flight.is_some()
     }
 
+    /// Number of queued orders, without those of the call in flight.
     pub fn waiting(&self) -> usize {
-        self.waiting.len()
+        self.queue.len()
     }
 
-    /// Takes the answer to the call under way.
+    /// Handles the answer to the call in flight.
     pub fn answered(&mut self, now: Duration, line: &[u8]) -> Outcome {
-        let Some(call) = self.under_way.take() else { return Outcome::Unknown };
+        let Some(call) = self.in_flight.take() else { return Outcome::Unknown };
         let text = String::from_utf8_lossy(line);
         if let Some(reason) = text.strip_prefix("ERR ") {
             let reason: String = reason.chars().take(100).collect();
             self.errors += 1;
-            self.not_before = now + TURNED_AWAY;
-            if reason != "throttled" && self.errors >= ERRORS_MOST {
+            self.retry_at = now + REFUSED_RETRY_DELAY;
+            if reason != "throttled" && self.errors >= MAX_ERRORS {
                 self.errors = 0;
                 self.dropped += call.orders.len() as u64;
                 return Outcome::NotDone {
                     reason: format!("{reason}, {} orders dropped", call.orders.len()),
                 };
             }
-            self.again(call);
+            self.requeue(call);
             return Outcome::NotDone { reason };
         }
-        let taken = text.strip_prefix("OK ").and_then(|n| n.trim().parse::<usize>().ok());
-        let Some(taken) = taken.filter(|taken| *taken <= call.orders.len()) else {
-            return self.doubt(now, call);
+        let applied = text.strip_prefix("OK ").and_then(|n| n.trim().parse::<usize>().ok());
+        let Some(applied) = applied.filter(|applied| *applied <= call.orders.len()) else {
+            return self.requeue_unknown(now, call);
         };
         self.errors = 0;
-        let UnderWay { mut orders, void } = call;
-        let mut rest = orders.split_off(taken);
+        let InFlightCall { mut orders, released } = call;
+        let mut rest = orders.split_off(applied);
         for done in &orders {
             match &done.order {
-                RelayOrder::Line { slice, server, on } if !void.contains(slice) => {
-                    self.confirmed.push(SetLine { slice: *slice, server: server.clone(), on: *on });
+                RelayOrder::Line { slice, server, on } if !released.contains(slice) => {
+                    self.confirmed.push(ConfirmedLine { slice: *slice, server: server.clone(), on: *on });
                 }
-                RelayOrder::Mark(mark) => self.carry(*mark, now),
+                RelayOrder::Mark(ack_seq) => self.note_accepted(*ack_seq, now),
                 _ => {}
             }
         }
@@ -224,84 +242,91 @@
         }
         let dropped = rest.remove(0).order;
         self.dropped += 1;
-        self.again(UnderWay { orders: rest, void });
+        self.requeue(InFlightCall { orders: rest, released });
         Outcome::Short { dropped }
     }
 
-    /// The connection broke, or nothing came in time. `whole`: the call's last byte may have arrived.
+    /// Handles a broken connection or a timeout. `whole`: the last byte of the call may have reached the relay.
     pub fn lost(&mut self, now: Duration, whole: bool) -> Outcome {
-        match self.under_way.take() {
-            Some(call) if whole => self.doubt(now, call),
+        match self.in_flight.take() {
+            Some(call) if whole => self.requeue_unknown(now, call),
             Some(call) => {
-                self.again(call);
+                self.requeue(call);
                 Outcome::NotDone { reason: "not sent".to_string() }
             }
             None => Outcome::Done,
         }
     }
 
-    fn doubt(&mut self, now: Duration, mut call: UnderWay) -> Outcome {
+    fn requeue_unknown(&mut self, now: Duration, mut call: InFlightCall) -> Outcome {
         self.unknown += 1;
-        self.doubted = now;
-        for waiting in &mut call.orders {
-            waiting.in_doubt = true;
-            if let RelayOrder::Mark(mark) = waiting.order {
-                self.carry(mark, now);
+        self.unknown_since = now;
+        for queued in &mut call.orders {
+            queued.maybe_applied = true;
+            if let RelayOrder::Mark(ack_seq) = queued.order {
+                self.note_accepted(ack_seq, now);
             }
         }
-        self.again(call);
+        self.requeue(call);
         Outcome::Unknown
     }
 
-    fn carry(&mut self, mark: u16, now: Duration) {
-        self.marks.iter_mut().filter(|m| m.mark == mark).for_each(|m| m.carried = Some(now));
+    fn note_accepted(&mut self, ack_seq: u16, now: Duration) {
+        self.ack_times
+            .iter_mut()
+            .filter(|times| times.ack_seq == ack_seq)
+            .for_each(|times| times.accepted_at = Some(now));
     }
 
-    /// Puts a call's orders before all that wait.
-    fn again(&mut self, call: UnderWay) {
-        let UnderWay { orders, void } = call;
-        let later = std::mem::take(&mut self.waiting);
-        let kept = orders.into_iter().filter(|w| w.order.slice().is_none_or(|slice| !void.contains(&slice)));
-        self.waiting.extend(kept);
-        for Waiting { order, ordered, .. } in later {
-            self.push(ordered, [order]);
+    /// Puts the orders of a call at the front of the queue.
+    fn requeue(&mut self, call: InFlightCall) {
+        let InFlightCall { orders, released } = call;
+        let later = std::mem::take(&mut self.queue);
+        let kept =
+            orders.into_iter().filter(|q| q.order.slice().is_none_or(|slice| !released.contains(&slice)));
+        self.queue.extend(kept);
+        for QueuedOrder { order, ordered_at, .. } in later {
+            self.push(ordered_at, [order]);
         }
     }
 
-    /// A slice is no longer ours: orders for it must not reach the store when it is given back.
+    /// Drops the orders of a released slice. They must not reach the store once the slice is acquired again.
     pub fn forget(&mut self, slice: SliceId) {
-        self.waiting.retain(|w| w.order.slice() != Some(slice));
-        if let Some(call) = &mut self.under_way {
-            call.void.insert(slice);
+        self.queue.retain(|q| q.order.slice() != Some(slice));
+        if let Some(call) = &mut self.in_flight {
+            call.released.insert(slice);
         }
     }
 
-    /// What is owed to a slice by an order that sets its line.
+    /// The pending work of a slice, as far as orders for its line tell.
     pub fn owed(&self, slice: SliceId) -> Owed {
-        let is = |w: &Waiting| matches!(&w.order, RelayOrder::Line { slice: s, .. } if *s == slice);
-        if self.under_way.iter().any(|call| call.orders.iter().any(is)) {
+        let sets_line =
+            |q: &QueuedOrder| matches!(&q.order, RelayOrder::Line { slice: s, .. } if *s == slice);
+        if self.in_flight.iter().any(|call| call.orders.iter().any(sets_line)) {
             return Owed::Call;
         }
-        if self.waiting.iter().any(is) {
+        if self.queue.iter().any(sets_line) {
             Owed::Handover
         } else {
             Owed::Nothing
         }
     }
 
-    /// Lines that the store is now known to have set or ended.
-    pub fn take_confirmed(&mut self) -> Vec<SetLine> {
+    /// Takes the lines that the store has confirmed since the last call.
+    pub fn take_confirmed(&mut self) -> Vec<ConfirmedLine> {
         std::mem::take(&mut self.confirmed)
     }
 
-    /// The time from the module's order until its effect at a proxy. A proxy tells it from the call on; what
-    /// passed before, in line or on calls that had to be sent again, is added, or writes would be thought to
-    /// have settled before they have.
+    /// The transit time from the assigner's order until its effect at a proxy. A proxy reports `way`, the transit
+    /// time from the call on. The time before the call, in the queue or in calls that had to be sent again, is added
+    /// here; otherwise writes would be assumed to have ended before they have.
     pub fn since_order(&self, now: Duration, mark: u16, way: Duration) -> Duration {
-        let times = self.marks.iter().find(|m| m.mark == mark);
-        // However long it says, it was no longer than that: sums of it must not overflow.
-        let way = way.min(LONG_AGO);
-        times.map_or(LONG_AGO, |m| m.carried.unwrap_or(now).saturating_sub(m.ordered) + way)
+        let times = self.ack_times.iter().find(|times| times.ack_seq == mark);
+        // A proxy may report any time. The bound keeps sums of it from overflowing.
+        let transit = way.min(MAX_TRANSIT);
+        times.map_or(MAX_TRANSIT, |times| {
+            times.accepted_at.unwrap_or(now).saturating_sub(times.ordered_at) + transit
+        })
     }
 }
 
--- a/crates/whinhill-platform/src/relay/news.rs
+++ b/crates/whinhill-platform/src/relay/news.rs
@@ -1,8 +1,9 @@
-//! News from the relay: which proxies are joined, what they answered, and the slices in our charge.
+//! The relay's watch stream: which proxies are joined, what they acknowledged, and the slices in our custody.
 //!
-//! News that break lose what happened meanwhile. A new reader is first told all that stands; that is set
-//! against what we knew, and the difference becomes events. Where the relay moves, the new connection is told what
-//! stands while the former goes on, and then takes its place.
+//! What happens while the stream is broken is lost. Each new connection begins with a snapshot of the current state.
+//! The snapshot is compared with the state that we knew, and the differences become events. Where the relay moves to
+//! another address, the connection to the new address receives its snapshot while the old one goes on, and then
+//! replaces it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,125 +11,146 @@
 use whinhill::interface::{Event, ProxyId, SliceId, ZoneId};
 use whinhill_names::Names;
 
-use super::calls::SetLine;
+use super::calls::ConfirmedLine;
 use crate::lines::{Lines, TooLong};
 
+/// The request that starts the watch stream.
 pub const REQUEST: &[u8] = b"WATCH\r\n";
 
-/// Bytes that a line of news may have: its longest holds a name of 64 bytes and three figures.
-const LINE_MOST: usize = 1024;
-/// What stands has been told once nothing came for this long, if no sign of life ends it sooner.
-const TOLD_AFTER: Duration = Duration::from_millis(250);
-/// A sign of life comes each second; a late one is no loss yet.
-const SILENT: Duration = Duration::from_millis(1800);
+/// Maximum length of a line. The longest one holds a name of 64 bytes and three figures.
+const MAX_LINE_BYTES: usize = 1024;
+/// The snapshot is complete once nothing was received for this long, unless a heartbeat ends it earlier.
+const SNAPSHOT_IDLE_DURATION: Duration = Duration::from_millis(250);
+/// The connection is lost once nothing was received for this long. Heartbeats come each second and may be late.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1800);
 
+/// Why a connection must be closed.
 #[derive(Debug, thiserror::Error)]
-pub enum NewsError {
+pub enum WatchError {
+    /// A line exceeds the maximum length.
     #[error("{0}")]
     Line(#[from] TooLong),
-    #[error("a line that is no news: {0:?}")]
+    /// A line is not part of the protocol; the value is its beginning.
+    #[error("malformed line: {0:?}")]
     Unreadable(String),
-    #[error("turned away: {0}")]
+    /// The relay did not accept the request; the value is the beginning of its answer.
+    #[error("request refused: {0}")]
     Refused(String),
 }
 
-/// What came of the news.
+/// A change that the watch stream reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
+    /// An event for the assigner.
     Event(Event),
+    /// A proxy has acknowledged the orders up to an ack request.
     Acked {
+        /// The proxy that answered.
         proxy: ProxyId,
+        /// The ack sequence number of the request.
         mark: u16,
+        /// Transit time from the call to the relay until the orders took effect at the proxy.
         way: Duration,
     },
-    /// A slice of ours may have been in other hands during a break: it follows as if it had been given now.
-    /// `differs`: the store holds another line than we knew.
+    /// A slice of ours that another assigner may have held while the stream was broken. It is treated as if it had
+    /// been acquired now.
     Anew {
+        /// The slice.
         slice: SliceId,
+        /// The store holds another line than the one we knew.
         differs: bool,
     },
-    /// The store holds one more line for a slice than its owner's: where slices are not exclusive, an assigner
-    /// that died between a grant and the end of the former line leaves both.
+    /// The store holds a line besides the owner's. Where slices are not exclusive, an assigner that died between a
+    /// grant and the removal of the former line leaves both.
     Extra {
+        /// The slice.
         slice: SliceId,
+        /// The server that the additional line names.
         server: String,
     },
-    /// All that stands was told. `again`: after a break, in which answers may have been lost.
+    /// The snapshot is complete.
     Settled {
+        /// The snapshot follows a break in which acks may have been lost.
         again: bool,
     },
 }
 
-/// What we owed to a slice when the news came back.
+/// What was still pending for a slice when the watch stream came back.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Owed {
+    /// Nothing.
     Nothing,
-    /// A call that sets its line is under way, and will settle it.
+    /// A call that sets the line is in flight and will determine it.
     Call,
-    /// A handover, or orders for its line that have not left. Who had the slice meanwhile has undone what
-    /// they rest on: its levels were reset, and proxies may write again to the owner that had stopped.
+    /// A handover, or queued orders for the line. An assigner that held the slice in the meantime has undone what they
+    /// are based on: the levels were reset, and proxies may be writing again to the owner that had stopped.
     Handover,
 }
 
-/// Which of two connections: the one whose news count, or one at a new address that is still told what stands.
+/// Identifies one of two connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
+    /// The connection whose updates are in force.
     Current,
+    /// A connection to a new address that is still receiving its snapshot.
     Next,
 }
 
 #[derive(Debug, PartialEq)]
 enum Phase {
-    Opening,
-    Telling,
+    /// The request was sent and is not yet answered.
+    Requested,
+    /// The snapshot is being received.
+    Snapshot,
+    /// The snapshot is complete; each line reports a change.
     Live,
 }
 
-/// A connection's news, and what it has told to stand.
+/// One connection to the relay, and the snapshot received on it.
 #[derive(Debug)]
 struct Stream {
     phase: Phase,
     lines: Lines,
-    heard: Duration,
+    received_at: Duration,
     proxies: BTreeMap<ProxyId, ZoneId>,
     slices: BTreeMap<SliceId, Vec<String>>,
-    /// Lines that calls of ours have replaced since it came up: what stands may have been told before.
+    /// Lines that our calls have replaced since the connection was opened. The snapshot may still contain them.
     replaced: BTreeMap<SliceId, BTreeSet<Option<String>>>,
 }
 
-/// A line of news.
-enum Item<'a> {
-    SignOfLife,
+/// A parsed line.
+enum Message<'a> {
+    Heartbeat,
     Hello(ProxyId, ZoneId),
     Bye(ProxyId),
     Ack(ProxyId, u16, Duration),
     Lease(SliceId, bool),
     Line(SliceId, &'a str),
-    /// A line that is none: its weight is 0.
-    NoLine,
+    /// A line of weight 0, which counts as absent.
+    AbsentLine,
 }
 
-impl<'a> Item<'a> {
-    fn read(text: &'a str, names: &mut Names) -> Option<Self> {
+impl<'a> Message<'a> {
+    fn parse(text: &'a str, names: &mut Names) -> Option<Self> {
         let mut words = text.split(' ');
         if words.next() != Some("*") {
             return None;
         }
-        let Some(kind) = words.next() else { return Some(Item::SignOfLife) };
+        let Some(kind) = words.next() else { return Some(Message::Heartbeat) };
         let mut word = || words.next();
         Some(match kind {
-            "hello" => Item::Hello(word()?.parse().ok()?, names.zone(word()?)),
-            "bye" => Item::Bye(word()?.parse().ok()?),
+            "hello" => Message::Hello(word()?.parse().ok()?, names.zone(word()?)),
+            "bye" => Message::Bye(word()?.parse().ok()?),
             "ack" => {
-                let (proxy, mark) = (word()?.parse().ok()?, word()?.parse().ok()?);
+                let (proxy, ack_seq) = (word()?.parse().ok()?, word()?.parse().ok()?);
                 let ms: f64 = word()?.parse().ok()?;
-                Item::Ack(proxy, mark, Duration::try_from_secs_f64(ms.max(0.0) / 1e3).ok()?)
+                Message::Ack(proxy, ack_seq, Duration::try_from_secs_f64(ms.max(0.0) / 1e3).ok()?)
             }
             "lease" => {
                 let slice = names.slice(word()?.parse().ok()?)?;
                 match word()? {
-                    "1" => Item::Lease(slice, true),
-                    "0" => Item::Lease(slice, false),
+                    "1" => Message::Lease(slice, true),
+                    "0" => Message::Lease(slice, false),
                     _ => return None,
                 }
             }
@@ -136,9 +158,9 @@
                 let (slice, server) = (names.slice(word()?.parse().ok()?)?, word()?);
                 let weight: f64 = word()?.parse().ok()?;
                 if weight > 0.0 {
-                    Item::Line(slice, server)
+                    Message::Line(slice, server)
                 } else {
-                    Item::NoLine
+                    Message::AbsentLine
                 }
             }
             _ => return None,
@@ -149,62 +171,66 @@
 impl Stream {
     fn new(now: Duration) -> Self {
         Stream {
-            phase: Phase::Opening,
-            lines: Lines::new(LINE_MOST),
-            heard: now,
+            phase: Phase::Requested,
+            lines: Lines::new(MAX_LINE_BYTES),
+            received_at: now,
             proxies: BTreeMap::new(),
             slices: BTreeMap::new(),
             replaced: BTreeMap::new(),
         }
     }
 
-    /// Notes what stands, and what changes while that is told.
-    fn note(&mut self, item: &Item) {
-        match item {
-            Item::Hello(proxy, zone) => drop(self.proxies.insert(*proxy, *zone)),
-            Item::Bye(proxy) => drop(self.proxies.remove(proxy)),
-            Item::Lease(slice, true) => drop(self.slices.insert(*slice, Vec::new())),
-            Item::Lease(slice, false) => drop(self.slices.remove(slice)),
-            Item::Line(slice, server) => {
+    /// Adds a message to the snapshot: current state, or a change that happened while the snapshot was being sent.
+    fn record(&mut self, message: &Message) {
+        match message {
+            Message::Hello(proxy, zone) => drop(self.proxies.insert(*proxy, *zone)),
+            Message::Bye(proxy) => drop(self.proxies.remove(proxy)),
+            Message::Lease(slice, true) => drop(self.slices.insert(*slice, Vec::new())),
+            Message::Lease(slice, false) => drop(self.slices.remove(slice)),
+            Message::Line(slice, server) => {
                 self.slices.entry(*slice).and_modify(|lines| lines.push(server.to_string()));
             }
-            Item::Ack(..) | Item::NoLine | Item::SignOfLife => {}
+            Message::Ack(..) | Message::AbsentLine | Message::Heartbeat => {}
         }
     }
 }
 
+/// The state reported by the relay, kept across connections.
 #[derive(Debug, Default)]
 pub struct News {
     current: Option<Stream>,
     next: Option<Stream>,
-    /// Whether anything that stands was ever told: from then on what is told again is set against it.
-    told_once: bool,
+    /// Some state was received before, at least in part: later snapshots are compared with it.
+    has_baseline: bool,
     proxies: BTreeMap<ProxyId, ZoneId>,
-    /// The slices in our charge, each with the line that the store holds.
+    /// The slices in our custody, each with the line that the store holds.
     slices: BTreeMap<SliceId, Option<String>>,
-    /// Slices that were given and whose lines we have not ordered since: all lines that are told are another's.
-    untouched: BTreeSet<SliceId>,
+    /// Slices that were acquired and for which we have ordered no line since: all their reported lines come from
+    /// another assigner.
+    lines_not_ordered: BTreeSet<SliceId>,
 }
 
 impl News {
-    fn at(&mut self, place: Place) -> &mut Option<Stream> {
+    fn stream_mut(&mut self, place: Place) -> &mut Option<Stream> {
         match place {
             Place::Current => &mut self.current,
             Place::Next => &mut self.next,
         }
     }
 
-    /// A connection came up: [`REQUEST`] is to be written.
+    /// Handles a new connection. The caller writes [`REQUEST`] to it.
     pub fn opened(&mut self, place: Place, now: Duration) {
-        *self.at(place) = Some(Stream::new(now));
+        *self.stream_mut(place) = Some(Stream::new(now));
     }
 
+    /// Handles the end of a connection.
     pub fn closed(&mut self, place: Place) {
-        let ended = self.at(place).take();
-        // What was told in part must be set against what the next connection tells.
-        self.told_once |= place == Place::Current && ended.is_some_and(|s| s.phase == Phase::Telling);
+        let ended = self.stream_mut(place).take();
+        // A partial snapshot is state that the next snapshot must be compared with.
+        self.has_baseline |= place == Place::Current && ended.is_some_and(|s| s.phase == Phase::Snapshot);
     }
 
+    /// Whether there is such a connection.
     pub fn is_open(&self, place: Place) -> bool {
         match place {
             Place::Current => self.current.is_some(),
@@ -212,25 +238,29 @@
         }
     }
 
-    /// Whether we know what is ours, so that orders may be given. After a break that is so once all was told.
+    /// Whether it is known which slices are ours, so that orders may be sent. After a break this is so once the
+    /// snapshot is complete.
     pub fn live(&self) -> bool {
         self.current.as_ref().is_some_and(|stream| match stream.phase {
-            Phase::Opening => false,
-            Phase::Telling => !self.told_once,
+            Phase::Requested => false,
+            Phase::Snapshot => !self.has_baseline,
             Phase::Live => true,
         })
     }
 
-    /// When to call [`News::passed`] if nothing comes until then.
+    /// When to call [`News::passed`] if nothing is received until then.
     pub fn due_at(&self, place: Place) -> Option<Duration> {
         let stream = match place {
             Place::Current => self.current.as_ref()?,
             Place::Next => self.next.as_ref()?,
         };
-        Some(stream.heard + if stream.phase == Phase::Telling { TOLD_AFTER } else { SILENT })
+        let timeout =
+            if stream.phase == Phase::Snapshot { SNAPSHOT_IDLE_DURATION } else { HEARTBEAT_TIMEOUT };
+        Some(stream.received_at + timeout)
     }
 
-    /// Time passed without a word; false: the news are lost.
+    /// Handles a timeout: completes a snapshot on which nothing was received for a while. Returns false if the
+    /// connection is lost.
     pub fn passed(
         &mut self,
         place: Place,
@@ -239,31 +269,34 @@
         owed: impl Fn(SliceId) -> Owed,
         told: &mut Vec<Told>,
     ) -> bool {
-        let Some(stream) = self.at(place).take() else { return true };
-        let alive = now < stream.heard + SILENT;
-        if stream.phase == Phase::Telling && now >= stream.heard + TOLD_AFTER {
-            self.settle(place, stream, names, owed, told);
+        let Some(stream) = self.stream_mut(place).take() else { return true };
+        let alive = now < stream.received_at + HEARTBEAT_TIMEOUT;
+        if stream.phase == Phase::Snapshot && now >= stream.received_at + SNAPSHOT_IDLE_DURATION {
+            self.complete_snapshot(place, stream, names, owed, told);
         } else {
-            *self.at(place) = Some(stream);
+            *self.stream_mut(place) = Some(stream);
         }
         alive
     }
 
+    /// Number of joined proxies.
     pub fn proxies(&self) -> usize {
         self.proxies.len()
     }
 
+    /// Number of slices in our custody.
     pub fn slices(&self) -> usize {
         self.slices.len()
     }
 
-    /// A line of the slice is ordered: from now on the store may hold what we set.
+    /// Notes that a line of the slice was ordered: from now on the store may hold a line that we set.
     pub fn line_ordered(&mut self, slice: SliceId) {
-        self.untouched.remove(&slice);
+        self.lines_not_ordered.remove(&slice);
     }
 
-    /// A call of ours set or ended a line. While what stands is being told, that may still be told without it.
-    pub fn confirmed(&mut self, set: SetLine) {
+    /// Notes a line that a call of ours has set or removed. A snapshot that is being received may still contain the
+    /// line that it replaced.
+    pub fn confirmed(&mut self, set: ConfirmedLine) {
         let Some(known) = self.slices.get_mut(&set.slice) else { return };
         let line = match (set.on, &*known) {
             (true, _) => Some(set.server),
@@ -276,7 +309,7 @@
         }
     }
 
-    /// Takes bytes of news.
+    /// Handles received bytes. `owed` tells what is pending for a slice; updates are appended to `told`.
     pub fn take(
         &mut self,
         place: Place,
@@ -285,159 +318,168 @@
         names: &mut Names,
         owed: impl Fn(SliceId) -> Owed,
         told: &mut Vec<Told>,
-    ) -> Result<(), NewsError> {
-        let (mut place, Some(mut stream)) = (place, self.at(place).take()) else { return Ok(()) };
-        stream.heard = now;
-        let mut lines = std::mem::replace(&mut stream.lines, Lines::new(LINE_MOST));
+    ) -> Result<(), WatchError> {
+        let (mut place, Some(mut stream)) = (place, self.stream_mut(place).take()) else { return Ok(()) };
+        stream.received_at = now;
+        let mut lines = std::mem::replace(&mut stream.lines, Lines::new(MAX_LINE_BYTES));
         lines.push(bytes);
         loop {
-            let item = match lines.next_line().map_err(NewsError::from) {
+            let message = match lines.next_line().map_err(WatchError::from) {
                 Ok(None) => break,
-                Ok(Some(line)) => read(line, &stream.phase, names),
+                Ok(Some(line)) => parse_line(line, &stream.phase, names),
                 Err(error) => Err(error),
             };
-            let item = match item {
-                Ok(Some(item)) => item,
+            let message = match message {
+                Ok(Some(message)) => message,
                 Ok(None) => {
-                    stream.phase = Phase::Telling;
+                    stream.phase = Phase::Snapshot;
                     continue;
                 }
                 Err(error) => {
-                    *self.at(place) = Some(stream);
+                    *self.stream_mut(place) = Some(stream);
                     return Err(error);
                 }
             };
-            match item {
-                Item::SignOfLife if stream.phase == Phase::Telling => {
-                    self.settle(place, stream, names, &owed, told);
+            match message {
+                Message::Heartbeat if stream.phase == Phase::Snapshot => {
+                    self.complete_snapshot(place, stream, names, &owed, told);
                     place = Place::Current;
-                    let Some(settled) = self.current.take() else { return Ok(()) };
-                    stream = settled;
+                    let Some(completed) = self.current.take() else { return Ok(()) };
+                    stream = completed;
                 }
-                // An answer counts whichever connection tells it; twice is as good as once.
-                Item::Ack(proxy, mark, way) if self.proxies.contains_key(&proxy) => {
-                    told.push(Told::Acked { proxy, mark, way });
+                // An ack counts on either connection, and a duplicate does no harm.
+                Message::Ack(proxy, ack_seq, transit) if self.proxies.contains_key(&proxy) => {
+                    told.push(Told::Acked { proxy, mark: ack_seq, way: transit });
                 }
-                item if stream.phase == Phase::Live || !self.told_once => self.happened(item, names, told),
-                item => stream.note(&item),
+                message if stream.phase == Phase::Live || !self.has_baseline => {
+                    self.apply(message, names, told)
+                }
+                message => stream.record(&message),
             }
         }
         stream.lines = lines;
-        *self.at(place) = Some(stream);
+        *self.stream_mut(place) = Some(stream);
         Ok(())
     }
 
-    fn happened(&mut self, item: Item, names: &mut Names, told: &mut Vec<Told>) {
-        match item {
-            Item::Hello(proxy, zone) => {
+    /// Applies a change to the known state, and reports it.
+    fn apply(&mut self, message: Message, names: &mut Names, updates: &mut Vec<Told>) {
+        match message {
+            Message::Hello(proxy, zone) => {
                 self.proxies.insert(proxy, zone);
-                told.push(Told::Event(Event::Joined { proxy, zone }));
+                updates.push(Told::Event(Event::Joined { proxy, zone }));
             }
-            Item::Bye(proxy) => {
+            Message::Bye(proxy) => {
                 if self.proxies.remove(&proxy).is_some() {
-                    told.push(Told::Event(Event::Left { proxy }));
+                    updates.push(Told::Event(Event::Left { proxy }));
                 }
             }
-            Item::Lease(slice, true) => {
+            Message::Lease(slice, true) => {
                 self.slices.insert(slice, None);
-                self.untouched.insert(slice);
-                told.push(Told::Event(Event::Given { slice }));
+                self.lines_not_ordered.insert(slice);
+                updates.push(Told::Event(Event::Given { slice }));
             }
-            Item::Lease(slice, false) => {
-                self.untouched.remove(&slice);
+            Message::Lease(slice, false) => {
+                self.lines_not_ordered.remove(&slice);
                 if self.slices.remove(&slice).is_some() {
-                    told.push(Told::Event(Event::Taken { slice }));
+                    updates.push(Told::Event(Event::Taken { slice }));
                 }
             }
-            Item::Line(slice, server) if self.untouched.contains(&slice) => {
+            Message::Line(slice, server) if self.lines_not_ordered.contains(&slice) => {
                 match self.slices.get_mut(&slice) {
                     Some(known @ None) => {
                         *known = Some(server.to_string());
-                        told.push(Told::Event(Event::Stored { slice, ep: names.ep(server) }));
+                        updates.push(Told::Event(Event::Stored { slice, ep: names.ep(server) }));
                     }
                     Some(Some(known)) if known != server => {
-                        told.push(Told::Extra { slice, server: server.to_string() });
+                        updates.push(Told::Extra { slice, server: server.to_string() });
                     }
                     _ => {}
                 }
             }
-            Item::Ack(..) | Item::Line(..) | Item::NoLine | Item::SignOfLife => {}
+            Message::Ack(..) | Message::Line(..) | Message::AbsentLine | Message::Heartbeat => {}
         }
     }
 
-    /// All that stands was told: what differs from what we knew becomes events, and the connection counts.
-    fn settle(
+    /// Handles a complete snapshot: reports its differences from the known state, and makes its connection the current
+    /// one.
+    fn complete_snapshot(
         &mut self,
         place: Place,
         mut stream: Stream,
         names: &mut Names,
         owed: impl Fn(SliceId) -> Owed,
-        told: &mut Vec<Told>,
+        updates: &mut Vec<Told>,
     ) {
-        // Where the former connection has told everything until now, nobody else had a slice of ours.
+        // If the former connection has reported everything until now, nobody else held a slice of ours.
         let unbroken = place == Place::Next && self.live();
-        let again = std::mem::replace(&mut self.told_once, true);
+        let again = std::mem::replace(&mut self.has_baseline, true);
         let (proxies, slices) = (std::mem::take(&mut stream.proxies), std::mem::take(&mut stream.slices));
         let replaced = std::mem::take(&mut stream.replaced);
         stream.phase = Phase::Live;
         (self.current, self.next) = (Some(stream), None);
         if again {
-            self.set_against(proxies, told);
-            let left: Vec<SliceId> =
+            self.reconcile_proxies(proxies, updates);
+            let released: Vec<SliceId> =
                 self.slices.keys().copied().filter(|s| !slices.contains_key(s)).collect();
-            left.into_iter().for_each(|slice| self.happened(Item::Lease(slice, false), names, told));
-            for (slice, seen) in slices {
+            released.into_iter().for_each(|slice| self.apply(Message::Lease(slice, false), names, updates));
+            for (slice, stored) in slices {
                 let Some(known) = self.slices.get_mut(&slice) else {
-                    self.happened(Item::Lease(slice, true), names, told);
-                    seen.iter().for_each(|line| self.happened(Item::Line(slice, line), names, told));
+                    self.apply(Message::Lease(slice, true), names, updates);
+                    stored.iter().for_each(|line| self.apply(Message::Line(slice, line), names, updates));
                     continue;
                 };
-                let is = |line: &Option<String>| line.as_slice() == seen;
-                let older = replaced.get(&slice).is_some_and(|lines| lines.iter().any(is));
-                let (differs, owed) = (!is(known) && !older, owed(slice));
-                let kept = owed == Owed::Nothing || unbroken;
-                if owed == Owed::Call || !differs && kept {
+                let is_stored = |line: &Option<String>| line.as_slice() == stored;
+                let was_replaced = replaced.get(&slice).is_some_and(|lines| lines.iter().any(is_stored));
+                let (differs, owed) = (!is_stored(known) && !was_replaced, owed(slice));
+                let undisturbed = owed == Owed::Nothing || unbroken;
+                if owed == Owed::Call || !differs && undisturbed {
                     continue;
                 }
-                told.push(Told::Anew { slice, differs });
+                updates.push(Told::Anew { slice, differs });
                 if differs {
-                    // Of several lines the one that we knew stays, or else the first.
-                    let stays = seen.iter().find(|line| known.as_ref() == Some(*line));
-                    let stays = stays.or(seen.first()).cloned();
-                    let extra = seen.into_iter().filter(|line| Some(line) != stays.as_ref());
-                    told.extend(extra.map(|server| Told::Extra { slice, server }));
-                    *known = stays;
+                    // Of several lines the one that we knew is kept, or else the first.
+                    let kept = stored.iter().find(|line| known.as_ref() == Some(*line));
+                    let kept = kept.or(stored.first()).cloned();
+                    let extra = stored.into_iter().filter(|line| Some(line) != kept.as_ref());
+                    updates.extend(extra.map(|server| Told::Extra { slice, server }));
+                    *known = kept;
                 }
             }
         }
-        told.push(Told::Settled { again });
+        updates.push(Told::Settled { again });
     }
 
-    /// Proxies that joined or left unheard. One that stood and stands has kept its stream, or is asked anew.
-    fn set_against(&mut self, seen: BTreeMap<ProxyId, ZoneId>, told: &mut Vec<Told>) {
-        for (proxy, zone) in seen.iter().filter(|(proxy, _)| !self.proxies.contains_key(proxy)) {
-            told.push(Told::Event(Event::Joined { proxy: *proxy, zone: *zone }));
+    /// Reports the proxies that joined or left during a break. A proxy in both states has kept its stream, or its ack
+    /// is requested again.
+    fn reconcile_proxies(&mut self, joined: BTreeMap<ProxyId, ZoneId>, updates: &mut Vec<Told>) {
+        for (proxy, zone) in joined.iter().filter(|(proxy, _)| !self.proxies.contains_key(proxy)) {
+            updates.push(Told::Event(Event::Joined { proxy: *proxy, zone: *zone }));
         }
-        for proxy in self.proxies.keys().filter(|proxy| !seen.contains_key(proxy)) {
-            told.push(Told::Event(Event::Left { proxy: *proxy }));
+        for proxy in self.proxies.keys().filter(|proxy| !joined.contains_key(proxy)) {
+            updates.push(Told::Event(Event::Left { proxy: *proxy }));
         }
-        self.proxies = seen;
+        self.proxies = joined;
     }
 
-    /// The line that the store is thought to hold for a slice of ours.
+    /// The line that the store is assumed to hold for a slice of ours.
     pub fn line_of(&self, slice: SliceId) -> Option<&str> {
         self.slices.get(&slice).and_then(Option::as_deref)
     }
 }
 
-/// A line of news; `None` for the answer to the request.
-fn read<'a>(line: &'a [u8], phase: &Phase, names: &mut Names) -> Result<Option<Item<'a>>, NewsError> {
-    let begin = || String::from_utf8_lossy(line).chars().take(100).collect();
+/// Parses a line; `None` for the positive answer to the request.
+fn parse_line<'a>(
+    line: &'a [u8],
+    phase: &Phase,
+    names: &mut Names,
+) -> Result<Option<Message<'a>>, WatchError> {
+    let prefix = || String::from_utf8_lossy(line).chars().take(100).collect();
     let text = std::str::from_utf8(line).unwrap_or_default();
     match phase {
-        Phase::Opening if text == "OK" => Ok(None),
-        Phase::Opening => Err(NewsError::Refused(begin())),
-        _ => Item::read(text, names).map(Some).ok_or_else(|| NewsError::Unreadable(begin())),
+        Phase::Requested if text == "OK" => Ok(None),
+        Phase::Requested => Err(WatchError::Refused(prefix())),
+        _ => Message::parse(text, names).map(Some).ok_or_else(|| WatchError::Unreadable(prefix())),
     }
 }
 
--- a/crates/whinhill-platform/src/relay/news/tests.rs
+++ b/crates/whinhill-platform/src/relay/news/tests.rs
@@ -8,49 +8,53 @@
     Names::new(&Settings(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()))
 }
 
-struct Reader(News, Names);
+/// Feeds text to the watch stream.
+struct Reader {
+    news: News,
+    names: Names,
+}
 
 impl Reader {
     fn new() -> Self {
-        Reader(News::default(), names())
+        Reader { news: News::default(), names: names() }
     }
 
-    /// A connection that tells `text` and then goes on.
-    fn opens(&mut self, text: &str, piece: usize) -> Vec<Told> {
-        self.0.opened(Place::Current, MS);
-        self.tell(&format!("OK\r\n{text}*\r\n"), piece)
+    /// Opens a connection that receives `text` as its snapshot, in pieces of `piece` bytes.
+    fn connect(&mut self, text: &str, piece: usize) -> Vec<Told> {
+        self.news.opened(Place::Current, MS);
+        self.receive(&format!("OK\r\n{text}*\r\n"), piece)
     }
 
-    fn tell(&mut self, text: &str, piece: usize) -> Vec<Told> {
-        let mut told = Vec::new();
+    fn receive(&mut self, text: &str, piece: usize) -> Vec<Told> {
+        let mut updates = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
-            self.0
+            self.news
                 .take(
                     Place::Current,
                     MS,
                     bytes,
-                    &mut self.1,
+                    &mut self.names,
                     |slice| if slice == 9 { Owed::Call } else { Owed::Nothing },
-                    &mut told,
+                    &mut updates,
                 )
                 .unwrap();
         }
-        told
+        updates
     }
 
     fn ep(&self, name: &str) -> Ep {
-        self.1.known(name).unwrap()
+        self.names.known(name).unwrap()
     }
 }
 
-const STANDS: &str =
+const SNAPSHOT: &str =
     "* hello 17 a 21.5 1\r\n* hello 18 a 2 0\r\n* lease 88 1\r\n* line 88 s-1 1.0\r\n* lease 9 1\r\n";
 
 #[test]
-fn what_stands_becomes_events_however_it_is_cut() {
+fn snapshot_becomes_events_in_pieces_of_any_size() {
     for piece in [1, 7, 1000] {
         let mut reader = Reader::new();
-        let told = reader.opens(STANDS, piece);
+        let updates = reader.connect(SNAPSHOT, piece);
         let wanted = [
             Told::Event(Event::Joined { proxy: 17, zone: 0 }),
             Told::Event(Event::Joined { proxy: 18, zone: 0 }),
@@ -59,24 +63,24 @@
             Told::Event(Event::Given { slice: 9 }),
             Told::Settled { again: false },
         ];
-        assert_eq!(told, wanted, "in pieces of {piece}");
+        assert_eq!(updates, wanted, "in pieces of {piece}");
     }
 }
 
 #[test]
-fn the_same_after_a_break_is_nothing_new() {
+fn same_snapshot_after_a_break_causes_no_events() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    assert_eq!(reader.opens(STANDS, 3), [Told::Settled { again: true }]);
+    reader.connect(SNAPSHOT, 1000);
+    assert_eq!(reader.connect(SNAPSHOT, 3), [Told::Settled { again: true }]);
 }
 
-/// Departures that nobody told, slices taken and given, and a line set by somebody else.
+/// During the break a proxy left, slices were released and acquired, and another assigner set a line.
 #[test]
-fn what_changed_in_a_break_becomes_events() {
+fn changes_during_a_break_become_events() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    let stands = "* hello 17 a 21.5 1\r\n* hello 19 a 1 1\r\n* lease 88 1\r\n* line 88 s-2 1.0\r\n* lease 5 1\r\n* line 5 s-2 1.0\r\n";
-    let told = reader.opens(stands, 5);
+    reader.connect(SNAPSHOT, 1000);
+    let snapshot = "* hello 17 a 21.5 1\r\n* hello 19 a 1 1\r\n* lease 88 1\r\n* line 88 s-2 1.0\r\n* lease 5 1\r\n* line 5 s-2 1.0\r\n";
+    let updates = reader.connect(snapshot, 5);
     let wanted = [
         Told::Event(Event::Joined { proxy: 19, zone: 0 }),
         Told::Event(Event::Left { proxy: 18 }),
@@ -86,53 +90,73 @@
         Told::Anew { slice: 88, differs: true },
         Told::Settled { again: true },
     ];
-    assert_eq!(told, wanted);
-    assert_eq!(reader.0.line_of(88), Some("s-2"));
+    assert_eq!(updates, wanted);
+    assert_eq!(reader.news.line_of(88), Some("s-2"));
 }
 
-/// A call whose outcome is open may have set the line: it is sent again and settles it.
+/// A call whose outcome is unknown may have set the line. It is sent again and then determines the line.
 #[test]
-fn a_line_in_doubt_does_not_differ() {
+fn line_of_a_call_in_flight_does_not_differ() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    let told = reader.opens(&format!("{STANDS}* line 9 s-3 1.0\r\n"), 1000);
-    assert_eq!(told, [Told::Settled { again: true }]);
+    reader.connect(SNAPSHOT, 1000);
+    let updates = reader.connect(&format!("{SNAPSHOT}* line 9 s-3 1.0\r\n"), 1000);
+    assert_eq!(updates, [Told::Settled { again: true }]);
 }
 
 #[test]
-fn live_news_tell_of_answers_and_of_proxies_that_come_and_go() {
+fn live_stream_reports_acks_and_joining_and_leaving_proxies() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    let told = reader
-        .tell("* ack 17 905 310.4\r\n* bye 17\r\n* ack 17 906 1\r\n* hello 17 a 1 0\r\n* lease 9 0\r\n", 4);
+    reader.connect(SNAPSHOT, 1000);
+    let updates = reader.receive(
+        "* ack 17 905 310.4\r\n* bye 17\r\n* ack 17 906 1\r\n* hello 17 a 1 0\r\n* lease 9 0\r\n",
+        4,
+    );
     let wanted = [
         Told::Acked { proxy: 17, mark: 905, way: Duration::from_micros(310_400) },
         Told::Event(Event::Left { proxy: 17 }),
         Told::Event(Event::Joined { proxy: 17, zone: 0 }),
         Told::Event(Event::Taken { slice: 9 }),
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(updates, wanted);
 }
 
 #[test]
-fn silence_is_a_loss_and_a_pause_ends_what_stands() {
+fn missing_heartbeats_are_a_loss_and_a_pause_completes_the_snapshot() {
     let mut reader = Reader::new();
-    reader.0.opened(Place::Current, MS);
-    let told = reader.tell(&format!("OK\r\n{STANDS}"), 1000);
-    assert_eq!(told.len(), 5);
-    let mut told = Vec::new();
-    assert!(reader.0.passed(Place::Current, MS + TOLD_AFTER, &mut reader.1, |_| Owed::Nothing, &mut told));
-    assert_eq!(told, [Told::Settled { again: false }]);
-    assert!(reader.0.passed(Place::Current, SILENT, &mut reader.1, |_| Owed::Nothing, &mut told));
-    assert!(!reader.0.passed(Place::Current, MS + SILENT, &mut reader.1, |_| Owed::Nothing, &mut told));
+    reader.news.opened(Place::Current, MS);
+    let updates = reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000);
+    assert_eq!(updates.len(), 5);
+    let mut updates = Vec::new();
+    assert!(reader.news.passed(
+        Place::Current,
+        MS + SNAPSHOT_IDLE_DURATION,
+        &mut reader.names,
+        |_| Owed::Nothing,
+        &mut updates
+    ));
+    assert_eq!(updates, [Told::Settled { again: false }]);
+    assert!(reader.news.passed(
+        Place::Current,
+        HEARTBEAT_TIMEOUT,
+        &mut reader.names,
+        |_| Owed::Nothing,
+        &mut updates
+    ));
+    assert!(!reader.news.passed(
+        Place::Current,
+        MS + HEARTBEAT_TIMEOUT,
+        &mut reader.names,
+        |_| Owed::Nothing,
+        &mut updates
+    ));
 }
 
 #[test]
-fn what_is_no_news_is_an_error() {
+fn malformed_lines_are_errors() {
     for text in ["ERR invalid\r\n", "OK\r\n* hello x a 1 1\r\n", "OK\r\n* lease 99 1\r\n", "OK\r\n\x01\r\n"] {
         let mut reader = Reader::new();
-        reader.0.opened(Place::Current, MS);
-        let (news, names) = (&mut reader.0, &mut reader.1);
+        reader.news.opened(Place::Current, MS);
+        let (news, names) = (&mut reader.news, &mut reader.names);
         assert!(
             news.take(Place::Current, MS, text.as_bytes(), names, |_| Owed::Nothing, &mut Vec::new())
                 .is_err(),
@@ -141,121 +165,129 @@
     }
 }
 
-/// The relay tells what stands, then a call of ours is answered, and only then the telling ends: the older line
-/// is no other's. On `roll+mass` 58 slices with a new owner were held for given, and got a second owner.
+/// The snapshot contains a line, then a call of ours replaces it, and only then the snapshot ends: the older line is not
+/// another assigner's. On `roll+mass` 58 slices with a new owner were taken for newly acquired ones, and each got a
+/// second owner.
 #[test]
-fn what_was_told_before_a_call_of_ours_does_not_differ() {
+fn line_replaced_by_our_call_during_the_snapshot_does_not_differ() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    reader.0.opened(Place::Current, MS);
-    assert_eq!(reader.tell(&format!("OK\r\n{STANDS}"), 1000), []);
-    let set = |server: &str, on| SetLine { slice: 88, server: server.to_string(), on };
-    reader.0.confirmed(set("s-1", false));
-    reader.0.confirmed(set("s-2", true));
-    assert_eq!(reader.tell("*\r\n", 1000), [Told::Settled { again: true }]);
-    assert_eq!(reader.0.line_of(88), Some("s-2"));
-    // What neither stood before nor was set by us is another's.
-    reader.0.opened(Place::Current, MS);
-    reader.0.confirmed(set("s-3", true));
-    let told = reader.tell(&format!("OK\r\n{}*\r\n", STANDS.replace("s-1", "s-9")), 1000);
-    assert_eq!(told, [Told::Anew { slice: 88, differs: true }, Told::Settled { again: true }]);
+    reader.connect(SNAPSHOT, 1000);
+    reader.news.opened(Place::Current, MS);
+    assert_eq!(reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000), []);
+    let set = |server: &str, on| ConfirmedLine { slice: 88, server: server.to_string(), on };
+    reader.news.confirmed(set("s-1", false));
+    reader.news.confirmed(set("s-2", true));
+    assert_eq!(reader.receive("*\r\n", 1000), [Told::Settled { again: true }]);
+    assert_eq!(reader.news.line_of(88), Some("s-2"));
+    // A line that we neither knew nor set is another assigner's.
+    reader.news.opened(Place::Current, MS);
+    reader.news.confirmed(set("s-3", true));
+    let updates = reader.receive(&format!("OK\r\n{}*\r\n", SNAPSHOT.replace("s-1", "s-9")), 1000);
+    assert_eq!(updates, [Told::Anew { slice: 88, differs: true }, Told::Settled { again: true }]);
 }
 
-/// Somebody else may have had the slice during the break: its levels were reset, so writes go on at an owner that
-/// had stopped. The handover starts anew, and no call leaves before all that stands was told.
+/// Another assigner may have held the slice during the break. Its levels were reset then, so writes may go on at an owner
+/// that had stopped. The handover starts again, and no call is sent before the snapshot is complete.
 #[test]
-fn what_was_owed_in_a_break_starts_anew() {
+fn handover_pending_during_a_break_starts_again() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    reader.0.opened(Place::Current, MS);
-    let mut told = Vec::new();
-    let text = format!("OK\r\n{STANDS}*\r\n");
+    reader.connect(SNAPSHOT, 1000);
+    reader.news.opened(Place::Current, MS);
+    let mut updates = Vec::new();
+    let text = format!("OK\r\n{SNAPSHOT}*\r\n");
     let (begin, end) = text.split_at(text.len() - 3);
     let owed = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
-    reader.0.take(Place::Current, MS, begin.as_bytes(), &mut reader.1, owed, &mut told).unwrap();
-    assert!(told.is_empty() && !reader.0.live());
-    reader.0.take(Place::Current, MS, end.as_bytes(), &mut reader.1, owed, &mut told).unwrap();
-    assert_eq!(told, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
-    assert!(reader.0.live());
+    reader.news.take(Place::Current, MS, begin.as_bytes(), &mut reader.names, owed, &mut updates).unwrap();
+    assert!(updates.is_empty() && !reader.news.live());
+    reader.news.take(Place::Current, MS, end.as_bytes(), &mut reader.names, owed, &mut updates).unwrap();
+    assert_eq!(updates, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
+    assert!(reader.news.live());
 }
 
-/// Where slices are not exclusive a table may have several lines: the owner's stays, the others are told.
+/// Where slices are not exclusive, a table may have several lines: the owner's is kept, the others are reported.
 #[test]
-fn lines_beside_the_owners_are_told() {
+fn lines_besides_the_owners_are_reported() {
     let mut reader = Reader::new();
-    let two = format!("{STANDS}* line 88 s-2 1.0\r\n* line 88 s-3 0.0\r\n");
+    let two = format!("{SNAPSHOT}* line 88 s-2 1.0\r\n* line 88 s-3 0.0\r\n");
     let extra = Told::Extra { slice: 88, server: "s-2".to_string() };
-    assert!(reader.opens(&two, 1000).contains(&extra));
+    assert!(reader.connect(&two, 1000).contains(&extra));
     let again = [Told::Anew { slice: 88, differs: true }, extra, Told::Settled { again: true }];
-    assert_eq!(reader.opens(&two, 1000), again);
-    assert_eq!(reader.0.line_of(88), Some("s-1"));
-    // The former owner's end is no end of the next one's line.
-    reader.0.confirmed(SetLine { slice: 88, server: "s-2".to_string(), on: true });
-    reader.0.confirmed(SetLine { slice: 88, server: "s-1".to_string(), on: false });
-    assert_eq!(reader.0.line_of(88), Some("s-2"));
-    // What is told of a slice whose line we have ordered meanwhile is ours.
-    reader.tell("* lease 5 1\r\n* line 5 s-1 1.0\r\n", 1000);
-    reader.0.line_ordered(5);
-    assert_eq!(reader.tell("* line 5 s-2 1.0\r\n", 1000), []);
+    assert_eq!(reader.connect(&two, 1000), again);
+    assert_eq!(reader.news.line_of(88), Some("s-1"));
+    // Removing the former owner's line does not remove the next owner's.
+    reader.news.confirmed(ConfirmedLine { slice: 88, server: "s-2".to_string(), on: true });
+    reader.news.confirmed(ConfirmedLine { slice: 88, server: "s-1".to_string(), on: false });
+    assert_eq!(reader.news.line_of(88), Some("s-2"));
+    // Once we have ordered a line of the slice, a reported line is taken for ours.
+    reader.receive("* lease 5 1\r\n* line 5 s-1 1.0\r\n", 1000);
+    reader.news.line_ordered(5);
+    assert_eq!(reader.receive("* line 5 s-2 1.0\r\n", 1000), []);
 }
 
-/// The relay moves: what stands is told at the new address while the former goes on. Nobody else had our slices
-/// meanwhile, so a handover goes on, and nothing that either told is lost.
+/// The relay moves: the new address sends its snapshot while the former connection goes on. Nobody else held our slices
+/// meanwhile, so a handover continues, and nothing that either connection reports is lost.
 #[test]
-fn a_connection_at_a_new_address_takes_over_without_a_break() {
+fn connection_to_a_new_address_takes_over_without_a_break() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    reader.0.opened(Place::Next, MS);
+    reader.connect(SNAPSHOT, 1000);
+    reader.news.opened(Place::Next, MS);
     let owed = |_| Owed::Handover;
-    let mut told = Vec::new();
-    let (news, names) = (&mut reader.0, &mut reader.1);
-    news.take(Place::Next, MS, format!("OK\r\n{STANDS}").as_bytes(), names, owed, &mut told).unwrap();
-    assert!(told.is_empty() && news.live() && news.is_open(Place::Next));
-    // Both tell what happens meanwhile; an answer may be told by either.
+    let mut updates = Vec::new();
+    let (news, names) = (&mut reader.news, &mut reader.names);
+    news.take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, owed, &mut updates).unwrap();
+    assert!(updates.is_empty() && news.live() && news.is_open(Place::Next));
+    // Both connections report changes; an ack may come on either.
     let both = "* bye 18\r\n* hello 20 a 1 0\r\n* lease 9 0\r\n* lease 7 1\r\n* line 7 s-2 1.0\r\n";
-    news.take(Place::Current, MS, both.as_bytes(), names, owed, &mut told).unwrap();
-    let before = told.len();
-    news.take(Place::Next, MS, format!("{both}* ack 17 5 1.0\r\n*\r\n").as_bytes(), names, owed, &mut told)
-        .unwrap();
+    news.take(Place::Current, MS, both.as_bytes(), names, owed, &mut updates).unwrap();
+    let before = updates.len();
+    news.take(
+        Place::Next,
+        MS,
+        format!("{both}* ack 17 5 1.0\r\n*\r\n").as_bytes(),
+        names,
+        owed,
+        &mut updates,
+    )
+    .unwrap();
     let wanted = [Told::Acked { proxy: 17, mark: 5, way: MS }, Told::Settled { again: true }];
-    assert_eq!((before, &told[before..]), (5, wanted.as_slice()));
+    assert_eq!((before, &updates[before..]), (5, wanted.as_slice()));
     assert!(news.live() && !news.is_open(Place::Next));
     assert_eq!((news.line_of(7), news.line_of(88), news.slices()), (Some("s-2"), Some("s-1"), 2));
 }
 
-/// The former address goes silent before the new one has told everything: that is a break like any other.
+/// The former connection ends before the snapshot of the new one is complete: that is a break like any other.
 #[test]
-fn a_former_address_that_ends_too_early_is_a_break() {
+fn former_connection_that_ends_too_early_is_a_break() {
     let mut reader = Reader::new();
-    reader.opens(STANDS, 1000);
-    reader.0.opened(Place::Next, MS);
+    reader.connect(SNAPSHOT, 1000);
+    reader.news.opened(Place::Next, MS);
     let owed = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
-    let mut told = Vec::new();
-    let (news, names) = (&mut reader.0, &mut reader.1);
-    news.take(Place::Next, MS, format!("OK\r\n{STANDS}").as_bytes(), names, owed, &mut told).unwrap();
+    let mut updates = Vec::new();
+    let (news, names) = (&mut reader.news, &mut reader.names);
+    news.take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, owed, &mut updates).unwrap();
     news.closed(Place::Current);
     assert!(!news.live());
-    news.take(Place::Next, MS, b"*\r\n", names, owed, &mut told).unwrap();
-    assert_eq!(told, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
+    news.take(Place::Next, MS, b"*\r\n", names, owed, &mut updates).unwrap();
+    assert_eq!(updates, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
     assert!(news.live());
 }
 
-/// The first connection breaks off, or goes on with what cannot be read, before it has told everything.
+/// The first connection is closed, or sends a malformed line, before its snapshot is complete.
 #[test]
-fn what_was_told_in_part_is_set_against_the_next_connection() {
+fn partial_snapshot_is_compared_with_the_next_one() {
     for garbage in [false, true] {
         let mut reader = Reader::new();
-        reader.0.opened(Place::Current, MS);
-        reader.tell(&format!("OK\r\n{STANDS}"), 1000);
+        reader.news.opened(Place::Current, MS);
+        reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000);
         if garbage {
-            let (news, names) = (&mut reader.0, &mut reader.1);
+            let (news, names) = (&mut reader.news, &mut reader.names);
             assert!(news
                 .take(Place::Current, MS, b"\x01\r\n", names, |_| Owed::Nothing, &mut Vec::new())
                 .is_err());
         }
-        reader.0.closed(Place::Current);
-        let told = reader.opens("* hello 17 a 21.5 1\r\n* lease 88 1\r\n* line 88 s-1 1.0\r\n", 1000);
-        let gone = [Told::Event(Event::Left { proxy: 18 }), Told::Event(Event::Taken { slice: 9 })];
-        assert_eq!(told, [gone.as_slice(), &[Told::Settled { again: true }]].concat());
+        reader.news.closed(Place::Current);
+        let updates = reader.connect("* hello 17 a 21.5 1\r\n* lease 88 1\r\n* line 88 s-1 1.0\r\n", 1000);
+        let departures = [Told::Event(Event::Left { proxy: 18 }), Told::Event(Event::Taken { slice: 9 })];
+        assert_eq!(updates, [departures.as_slice(), &[Told::Settled { again: true }]].concat());
     }
 }
