--- a/crates/whinhill-platform/src/config.rs
+++ b/crates/whinhill-platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The file that `BALANCER_CONFIG` names.
+//! Parses the configuration file that `BALANCER_CONFIG` names.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,36 +9,55 @@
 
 use crate::roster::{Roster, RosterError};
 
+/// Why the configuration file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
+    /// The file is not JSON, or lacks a field.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
+    /// A field has an invalid value.
     #[error("{path}: cannot read {value:?}")]
-    Field { path: &'static str, value: String },
+    Field {
+        /// The path of the field.
+        path: &'static str,
+        /// The beginning of its value.
+        value: String,
+    },
 }
 
+/// The configuration of an assigner on the platform.
 #[derive(Debug)]
 pub struct PlatformConfig {
+    /// The name of this assigner.
     pub name: String,
+    /// The address to listen on.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
+    /// The address of the relay.
     pub relay: SocketAddr,
+    /// The seed of the assigner's random numbers.
     pub seed: u64,
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The list as this assigner last had it; it may be old. One that cannot be read is no reason not to serve:
-    /// discovery has a newer one.
+    /// The list of servers as this assigner last had it; it may be old. An invalid one does not keep the assigner from
+    /// serving, because discovery has a newer one.
     pub known: Result<Roster, RosterError>,
+    /// The settings of the assigner.
     pub settings: Settings,
 }
 
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
+    /// Memory in megabytes.
     pub memory_mb: f64,
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
@@ -54,9 +73,9 @@
     address: String,
 }
 
-/// Reads the file's text. Every fault is named with the path at which it stands.
+/// Parses the text of the file. Errors name the path of the invalid field.
 pub fn read(text: &[u8]) -> Result<PlatformConfig, ConfigError> {
-    let file: File = serde_json::from_slice(text)?;
+    let file: ConfigFile = serde_json::from_slice(text)?;
     let addr = |path, value: &str| {
         value.parse().map_err(|_| ConfigError::Field { path, value: value.chars().take(100).collect() })
     };
@@ -78,31 +97,34 @@
     })
 }
 
-/// Nested settings as the module reads them: a list of plain values is joined with commas, a list of objects
-/// has its length under `.count` and its items under `.0`, `.1` and so on.
-fn flatten(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
+/// Flattens nested settings to the paths that the assigner reads: a list of scalars is joined with commas, a list of
+/// objects has its length under `.count` and its items under `.0`, `.1` and so on.
+fn flatten(path: &str, value: &Value, settings: &mut BTreeMap<String, String>) {
     match value {
-        Value::Object(map) => map.iter().for_each(|(name, v)| flatten(&format!("{path}.{name}"), v, into)),
+        Value::Object(map) => {
+            map.iter().for_each(|(name, v)| flatten(&format!("{path}.{name}"), v, settings))
+        }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            into.insert(format!("{path}.count"), items.len().to_string());
-            for (k, item) in items.iter().enumerate() {
-                flatten(&format!("{path}.{k}"), item, into);
+            settings.insert(format!("{path}.count"), items.len().to_string());
+            for (index, item) in items.iter().enumerate() {
+                flatten(&format!("{path}.{index}"), item, settings);
             }
         }
         Value::Array(items) => {
-            let words: Vec<String> = items.iter().filter_map(plain).collect();
-            into.insert(path.to_string(), words.join(","));
+            let words: Vec<String> = items.iter().filter_map(scalar_text).collect();
+            settings.insert(path.to_string(), words.join(","));
         }
-        other => into.extend(plain(other).map(|word| (path.to_string(), word))),
+        other => settings.extend(scalar_text(other).map(|word| (path.to_string(), word))),
     }
 }
 
-fn plain(value: &Value) -> Option<String> {
+/// The text of a scalar; `None` for other values.
+fn scalar_text(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.replace([' ', ','], "_")),
         Value::Bool(flag) => Some(u8::from(*flag).to_string()),
         Value::Number(number) => Some(match number.as_f64() {
-            // A count may be written 68600.0: the module reads whole numbers without a point.
+            // A count may be written as 68600.0, but the assigner reads whole numbers without a decimal point.
             Some(x) if x.fract() == 0.0 && x.abs() < 1e15 => format!("{}", x as i64),
             _ => number.to_string(),
         }),
--- a/crates/whinhill-platform/src/config/tests.rs
+++ b/crates/whinhill-platform/src/config/tests.rs
@@ -8,7 +8,7 @@
         "classes":[{"name":"look","objective":1200.5}],"familyInfo":{"shards":196,"mutating":[false,true]}}}"#;
 
 #[test]
-fn nested_settings_get_the_names_that_the_module_reads() {
+fn nested_settings_are_flattened_to_the_paths_that_the_assigner_reads() {
     let config = read(FILE.as_bytes()).unwrap();
     let text: Vec<String> = config.settings.0.iter().map(|(k, v)| format!("{k}={v}")).collect();
     let wanted = "caps.mayProbe=1 classes.0.name=look classes.0.objective=1200.5 classes.count=1 \
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn a_fault_is_named_with_its_path() {
-    let fault = |from: &str, to: &str| read(FILE.replace(from, to).as_bytes()).unwrap_err().to_string();
-    assert_eq!(fault("127.0.0.3:6400", "nowhere"), "distributor.address: cannot read \"nowhere\"");
-    assert_eq!(fault("8c1f30d27a5be964", "xyz"), "seed: cannot read \"xyz\"");
-    assert!(fault("\"listen\"", "\"listens\"").contains("listen"));
+fn errors_name_the_path_of_the_invalid_field() {
+    let error = |from: &str, to: &str| read(FILE.replace(from, to).as_bytes()).unwrap_err().to_string();
+    assert_eq!(error("127.0.0.3:6400", "nowhere"), "distributor.address: cannot read \"nowhere\"");
+    assert_eq!(error("8c1f30d27a5be964", "xyz"), "seed: cannot read \"xyz\"");
+    assert!(error("\"listen\"", "\"listens\"").contains("listen"));
 }
 
 #[test]
-fn a_stored_list_that_cannot_be_read_does_not_keep_the_assigner_from_serving() {
+fn invalid_stored_list_does_not_keep_the_assigner_from_serving() {
     let config = read(FILE.replace("\"index\":41", "\"index\":-1").as_bytes()).unwrap();
     assert!(config.known.unwrap_err().to_string().starts_with("not a list"));
 }
--- a/crates/whinhill-platform/src/lib.rs
+++ b/crates/whinhill-platform/src/lib.rs
@@ -1,5 +1,6 @@
-//! The platform's protocol, without I/O and without a clock: bytes, events and a time go in; bytes, events and
-//! things to do come out. The platform's words end here.
+//! The platform's protocols as codecs and state machines, without I/O and without a clock: their input is bytes, events
+//! and the current time, their output is bytes, events and actions. Field names and words of the protocols are used in
+//! this crate only.
 //!
 //! ```
 //! use whinhill_platform::lines::Lines;
--- a/crates/whinhill-platform/src/relay/news.rs
+++ b/crates/whinhill-platform/src/relay/news.rs
@@ -32,7 +32,7 @@
     Line(#[from] TooLong),
     /// A line is not part of the protocol; the value is its beginning.
     #[error("malformed line: {0:?}")]
-    Unreadable(String),
+    Malformed(String),
     /// The relay did not accept the request; the value is the beginning of its answer.
     #[error("request refused: {0}")]
     Refused(String),
@@ -479,7 +479,7 @@
     match phase {
         Phase::Requested if text == "OK" => Ok(None),
         Phase::Requested => Err(WatchError::Refused(prefix())),
-        _ => Message::parse(text, names).map(Some).ok_or_else(|| WatchError::Unreadable(prefix())),
+        _ => Message::parse(text, names).map(Some).ok_or_else(|| WatchError::Malformed(prefix())),
     }
 }
 
--- a/crates/whinhill-platform/src/relay/orders.rs
+++ b/crates/whinhill-platform/src/relay/orders.rs
@@ -1,4 +1,4 @@
-//! The module's orders in the relay's words.
+//! Translates the assigner's orders to the relay's protocol.
 
 use std::fmt::Write;
 
@@ -8,23 +8,32 @@
 /// An order that the relay carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayOrder {
-    /// The slice's one line: a server's, or taken away.
+    /// Sets or removes a line of a slice.
     Line {
+        /// The slice that the line belongs to.
         slice: SliceId,
+        /// The server that the line names.
         server: String,
+        /// Whether the line is set; otherwise it is removed.
         on: bool,
     },
+    /// Sets the admission level of a slice.
     Level {
+        /// The slice.
         slice: SliceId,
+        /// The methods that the level applies to; 0 for all.
         methods: MethodMask,
+        /// The fraction of RPCs to admit.
         share: f64,
+        /// The retry policy of proxies; 0 for no retries.
         tries: u8,
     },
+    /// Requests that every proxy acknowledge the orders so far under this ack sequence number.
     Mark(u16),
 }
 
 impl RelayOrder {
-    /// `None` for an order that is not the relay's.
+    /// Translates an order; `None` if the relay has no part in it or the server has no name.
     pub fn of(order: &Order, names: &Names) -> Option<Self> {
         let line = |slice: SliceId, index: usize, on| {
             names.server(index).map(|name| RelayOrder::Line { slice, server: name.to_string(), on })
@@ -40,6 +49,7 @@
         }
     }
 
+    /// The slice that the order is for, if it is for one.
     pub fn slice(&self) -> Option<SliceId> {
         match self {
             RelayOrder::Line { slice, .. } | RelayOrder::Level { slice, .. } => Some(*slice),
@@ -47,21 +57,23 @@
         }
     }
 
+    /// Appends the order to the text of a call.
     pub fn write(&self, out: &mut String, names: &Names) {
         let written = match self {
             RelayOrder::Line { slice, server, on } => write!(out, "put,{slice},{server},{}", u8::from(*on)),
             RelayOrder::Level { slice, methods, share, tries } => {
-                write!(out, "gate,{slice},{},{share:.3},{tries}", classes(*methods, names))
+                write!(out, "gate,{slice},{},{share:.3},{tries}", method_names(*methods, names))
             }
-            RelayOrder::Mark(mark) => write!(out, "fence,{mark},1"),
+            RelayOrder::Mark(ack_seq) => write!(out, "fence,{ack_seq},1"),
         };
         written.expect("writing to a string cannot fail");
     }
 }
 
-fn classes(methods: MethodMask, names: &Names) -> String {
-    let named = (0..names.methods().min(32)).filter(|m| methods & (1 << m) != 0);
-    let words: Vec<&str> = named.filter_map(|m| names.method_name(m)).collect();
+/// The names of the methods in a mask, joined with `+`; `*` if there is none.
+fn method_names(methods: MethodMask, names: &Names) -> String {
+    let in_mask = (0..names.methods().min(32)).filter(|m| methods & (1 << m) != 0);
+    let words: Vec<&str> = in_mask.filter_map(|m| names.method_name(m)).collect();
     if words.is_empty() {
         "*".to_string()
     } else {
--- a/crates/whinhill-platform/src/relay/orders/tests.rs
+++ b/crates/whinhill-platform/src/relay/orders/tests.rs
@@ -2,7 +2,7 @@
 use whinhill::interface::Settings;
 
 #[test]
-fn orders_are_written_in_the_relays_words() {
+fn orders_are_written_in_the_relays_protocol() {
     let pairs = [("classes.count", "2"), ("classes.0.name", "look"), ("classes.1.name", "book")];
     let mut names =
         Names::new(&Settings(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()));
--- a/crates/whinhill-platform/src/roster.rs
+++ b/crates/whinhill-platform/src/roster.rs
@@ -1,4 +1,4 @@
-//! Discovery's form of the list of servers.
+//! Parses discovery's list of servers.
 
 use std::net::SocketAddr;
 
@@ -6,35 +6,53 @@
 use serde_json::Value;
 use whinhill::interface::Listed;
 
+/// Why a list is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum RosterError {
+    /// The list is not JSON, or lacks a field.
     #[error("not a list of servers: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("server {name:?}: cannot read its {what}")]
-    Entry { name: String, what: &'static str },
+    /// A server has an invalid field.
+    #[error("server {name:?}: invalid {what}")]
+    Entry {
+        /// The beginning of the server's name.
+        name: String,
+        /// What is invalid.
+        what: &'static str,
+    },
 }
 
-/// The whole list, or what changed in it.
+/// The list of servers, or the changes in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Roster {
+    /// The version of the list.
     pub version: u64,
+    /// Whether this is the whole list; otherwise it contains the servers that have changed.
     pub whole: bool,
+    /// The servers.
     pub servers: Vec<Server>,
 }
 
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
+    /// The unique name of the server.
     pub name: String,
+    /// The address for RPCs and probes.
     pub addr: SocketAddr,
+    /// The zone that the server runs in.
     pub zone: String,
+    /// Whether the server is ready, draining or gone.
     pub listed: Listed,
+    /// The size of the server relative to the others; it has no unit.
     pub size: f64,
-    /// Its last start in Unix time in milliseconds; 0: long ago.
+    /// The last start of the server as Unix time in milliseconds; 0 if it was long ago.
     pub started_ms: u64,
 }
 
+/// The list as it is transmitted.
 #[derive(Deserialize)]
-struct Wire {
+struct WireRoster {
     index: u64,
     snapshot: bool,
     endpoints: Vec<WireServer>,
@@ -53,15 +71,17 @@
 }
 
 impl Roster {
+    /// Parses the text of a list.
     pub fn read(text: &[u8]) -> Result<Self, RosterError> {
         Self::from_wire(serde_json::from_slice(text)?)
     }
 
+    /// Parses a list that is part of another JSON document.
     pub fn from_value(value: Value) -> Result<Self, RosterError> {
         Self::from_wire(serde_json::from_value(value)?)
     }
 
-    fn from_wire(wire: Wire) -> Result<Self, RosterError> {
+    fn from_wire(wire: WireRoster) -> Result<Self, RosterError> {
         let servers = wire.endpoints.into_iter().map(Server::from_wire).collect::<Result<_, _>>()?;
         Ok(Roster { version: wire.index, whole: wire.snapshot, servers })
     }
@@ -69,27 +89,27 @@
 
 impl Server {
     fn from_wire(wire: WireServer) -> Result<Self, RosterError> {
-        let fault = |what| RosterError::Entry { name: wire.name.chars().take(64).collect(), what };
-        // Names go into the relay's orders, which are set apart by these.
-        let plain = |c: char| c.is_ascii_graphic() && !",;+*".contains(c);
-        if wire.name.is_empty() || wire.name.len() > 64 || !wire.name.chars().all(plain) {
-            return Err(fault("name"));
+        let invalid = |what| RosterError::Entry { name: wire.name.chars().take(64).collect(), what };
+        // Names become part of the relay's orders, where these characters are separators.
+        let is_allowed = |c: char| c.is_ascii_graphic() && !",;+*".contains(c);
+        if wire.name.is_empty() || wire.name.len() > 64 || !wire.name.chars().all(is_allowed) {
+            return Err(invalid("name"));
         }
         let listed = match wire.status.as_str() {
             "SERVING" => Listed::Ready,
             "DRAINING" => Listed::Draining,
             "DELETED" => Listed::Gone,
-            _ => return Err(fault("status")),
+            _ => return Err(invalid("status")),
         };
         let size = wire.weight.unwrap_or(1.0);
         let started = wire.since_ms.unwrap_or(0.0);
         if !(0.0..1e9).contains(&size) {
-            return Err(fault("weight"));
+            return Err(invalid("weight"));
         }
         if !(0.0..1e15).contains(&started) {
-            return Err(fault("start"));
+            return Err(invalid("start"));
         }
-        let addr = wire.address.parse().map_err(|_| fault("address"))?;
+        let addr = wire.address.parse().map_err(|_| invalid("address"))?;
         Ok(Server { addr, listed, size, started_ms: started as u64, name: wire.name, zone: wire.zone })
     }
 }
