--- a/crates/whinhill-platform/tests/mangled.rs
+++ b/crates/whinhill-platform/tests/mangled.rs
@@ -1,5 +1,5 @@
-//! Good streams with some bytes changed, cut or doubled: no panic, no buffer that grows without bound, and the
-//! same result however the bytes are cut. `WHINHILL_FUZZ=100000` plays as many seeds.
+//! Feeds valid streams with some bytes changed, removed or repeated to each parser. No parser may panic or grow a buffer
+//! without bound, and the result must be the same in pieces of any size. `WHINHILL_FUZZ=100000` runs that many seeds.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 const PEER: &str = "{\"@type\":\"agent\",\"site\":\"a\"}\n\
     {\"@type\":\"outcomes\",\"site\":\"a\",\"target\":\"s-1\",\"count\":9,\"fail\":3,\"mean\":41.7,\"over\":1000.0,\"util\":{\"util\":0.6}}\n\
     {\"@type\":\"hot\",\"range\":8,\"lane\":\"look\",\"count\":40,\"fail\":1,\"over\":1000.0}\n{\"@type\":\"probe\"}\n";
-const NEWS: &str =
+const WATCH_STREAM: &str =
     "OK\r\n* hello 17 a 21.5 1\r\n* lease 8 1\r\n* line 8 s-1 1.0\r\n*\r\n* ack 17 905 310.4\r\n\
     * bye 17\r\n* hello 17 a 1 0\r\n* lease 8 0\r\n*\r\n";
 const LIST: &str =
@@ -64,31 +64,31 @@
     bytes
 }
 
-/// The same bytes whole and in pieces drawn by the seed.
-fn cuts(rng: &mut ChaCha8Rng, bytes: &[u8]) -> [Vec<Vec<u8>>; 2] {
+/// The same bytes in one piece, and in pieces of random size.
+fn splits(rng: &mut ChaCha8Rng, bytes: &[u8]) -> [Vec<Vec<u8>>; 2] {
     let mut pieces = Vec::new();
     let mut rest = bytes;
     while !rest.is_empty() {
-        let (now, later) = rest.split_at(rng.random_range(1..=rest.len().min(40)));
-        pieces.push(now.to_vec());
+        let (piece, later) = rest.split_at(rng.random_range(1..=rest.len().min(40)));
+        pieces.push(piece.to_vec());
         rest = later;
     }
     [vec![bytes.to_vec()], pieces]
 }
 
-/// Plays mangled streams and compares what `read` makes of them whole and in pieces.
-fn same_however_cut<T: PartialEq + std::fmt::Debug>(text: &str, read: impl Fn(&[Vec<u8>]) -> T) {
+/// Parses mangled streams with `read`, and compares the results for one piece and for several.
+fn assert_same_in_pieces<T: PartialEq + std::fmt::Debug>(text: &str, read: impl Fn(&[Vec<u8>]) -> T) {
     for seed in seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let bytes = mangle(&mut rng, text);
-        let [whole, pieces] = cuts(&mut rng, &bytes).map(|cut| read(&cut));
+        let [whole, pieces] = splits(&mut rng, &bytes).map(|split| read(&split));
         assert_eq!(whole, pieces, "seed {seed}: {}", String::from_utf8_lossy(&bytes));
     }
 }
 
 #[test]
-fn whoever_connects() {
-    same_however_cut(PEER, |pieces| {
+fn peer_messages_are_the_same_in_pieces() {
+    assert_same_in_pieces(PEER, |pieces| {
         let (mut peer, mut heard) = (Peer::default(), Vec::new());
         let result = pieces.iter().try_for_each(|bytes| peer.take(bytes, &names(), &mut heard));
         (heard, result)
@@ -96,25 +96,25 @@
 }
 
 #[test]
-fn news() {
-    same_however_cut(NEWS, |pieces| {
-        let (mut news, mut names, mut told) = (News::default(), names(), Vec::new());
+fn watch_updates_are_the_same_in_pieces() {
+    assert_same_in_pieces(WATCH_STREAM, |pieces| {
+        let (mut news, mut names, mut updates) = (News::default(), names(), Vec::new());
         news.opened(Place::Current, Duration::ZERO);
         let result = pieces.iter().try_for_each(|bytes| {
-            news.take(Place::Current, Duration::ZERO, bytes, &mut names, |_| Owed::Nothing, &mut told)
+            news.take(Place::Current, Duration::ZERO, bytes, &mut names, |_| Owed::Nothing, &mut updates)
         });
-        (told, result.map_err(|error| error.to_string()))
+        (updates, result.map_err(|error| error.to_string()))
     });
 }
 
 #[test]
-fn lists() {
+fn discovery_lists_are_the_same_in_pieces() {
     let mut answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
     for piece in [LIST, "\n", LIST].concat().as_bytes().chunks(90) {
         answer.push_str(&format!("{:x}\r\n{}\r\n", piece.len(), String::from_utf8_lossy(piece)));
     }
     for asking in [Asking::watch as fn() -> Asking, Asking::fetch] {
-        same_however_cut(&answer, |pieces| {
+        assert_same_in_pieces(&answer, |pieces| {
             let (mut asking, mut lists) = (asking(), Vec::new());
             let result = pieces.iter().try_for_each(|bytes| {
                 let taken = asking.take(bytes);
@@ -127,16 +127,16 @@
 }
 
 #[test]
-fn probes() {
+fn probe_results_are_the_same_in_pieces() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\ncpu_share=0.2,svc_ms=73.3";
-    same_however_cut(answer, |pieces| {
+    assert_same_in_pieces(answer, |pieces| {
         let mut probing = Probing::default();
         pieces.iter().find_map(|bytes| probing.take(bytes)).or_else(|| probing.ended())
     });
 }
 
 #[test]
-fn a_call_keeps_its_orders_whatever_answers_it() {
+fn call_loses_no_orders_after_a_mangled_answer() {
     for seed in seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut calls, names) = (Calls::default(), names());
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn files_and_lists_at_rest() {
+fn mangled_config_files_and_lists_do_not_panic() {
     for seed in seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let _ = config::read(&mangle(&mut rng, CONFIG));
