--- a/crates/whinhill-platform/src/discovery.rs
+++ b/crates/whinhill-platform/src/discovery.rs
@@ -93,36 +93,36 @@
 
     /// Handles received bytes. The lists that they complete are valid even if what follows them is not.
     pub fn take(&mut self, bytes: &[u8]) -> Taken {
-        let (mut taken, had_head) = (Taken::default(), self.answered());
+        let (mut received, had_head) = (Taken::default(), self.answered());
         let pushed = self.response.push(bytes, &mut self.body).map_err(DiscoveryError::from);
         let parsed = match self.response.status() {
             Some(status) if status != 200 => Err(DiscoveryError::Status(status)),
-            _ if self.watch => self.parse_lines(&mut taken),
-            _ => self.parse_body(&mut taken),
+            _ if self.watch => self.parse_lines(&mut received),
+            _ => self.parse_body(&mut received),
         };
-        taken.alive = taken.current || self.answered() && !had_head;
-        taken.fault = parsed.and(pushed).err();
-        taken
+        received.alive = received.current || self.answered() && !had_head;
+        received.fault = parsed.and(pushed).err();
+        received
     }
 
     /// Parses the lines of a watch: lists, and empty lines as heartbeats.
-    fn parse_lines(&mut self, taken: &mut Taken) -> Result<(), DiscoveryError> {
+    fn parse_lines(&mut self, received: &mut Taken) -> Result<(), DiscoveryError> {
         self.lines.push(&self.body);
         self.body.clear();
         while let Some(line) = self.lines.next_line()? {
             if !line.iter().all(u8::is_ascii_whitespace) {
-                taken.lists.push(Roster::read(line)?);
+                received.lists.push(Roster::read(line)?);
             }
-            taken.current = true;
+            received.current = true;
         }
         Ok(())
     }
 
     /// Parses the list of a fetch once it is complete.
-    fn parse_body(&mut self, taken: &mut Taken) -> Result<(), DiscoveryError> {
+    fn parse_body(&mut self, received: &mut Taken) -> Result<(), DiscoveryError> {
         if self.response.is_complete() {
-            taken.lists.push(Roster::read(&self.body)?);
-            taken.current = true;
+            received.lists.push(Roster::read(&self.body)?);
+            received.current = true;
         } else if self.body.len() > MAX_LIST_BYTES {
             return Err(TooLong(MAX_LIST_BYTES).into());
         }
--- a/crates/whinhill-platform/src/discovery/tests.rs
+++ b/crates/whinhill-platform/src/discovery/tests.rs
@@ -5,9 +5,9 @@
 }
 
 /// The lists of a result without an error.
-fn lists_of(taken: Taken) -> Vec<Roster> {
-    assert!(taken.fault.is_none(), "{taken:?}");
-    taken.lists
+fn lists_of(received: Taken) -> Vec<Roster> {
+    assert!(received.fault.is_none(), "{received:?}");
+    received.lists
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -23,9 +23,9 @@
         format!("{HEAD}{}what is no chunk\r\n", chunk(good)),
     ];
     for input in bad {
-        let taken = Asking::watch().take(input.as_bytes());
-        assert_eq!(taken.lists, [list(1, true)], "{input:?}");
-        assert!(taken.fault.is_some(), "{input:?}");
+        let received = Asking::watch().take(input.as_bytes());
+        assert_eq!(received.lists, [list(1, true)], "{input:?}");
+        assert!(received.fault.is_some(), "{input:?}");
     }
 }
 
@@ -34,7 +34,7 @@
 fn only_the_head_and_whole_lines_are_signs_of_life() {
     let mut watch = Asking::watch();
     let (begin, end) = HEAD.as_bytes().split_at(20);
-    let signs = |taken: Taken| (taken.alive, taken.current);
+    let signs = |received: Taken| (received.alive, received.current);
     assert_eq!(signs(watch.take(begin)), (false, false));
     assert_eq!(signs(watch.take(end)), (true, false));
     assert_eq!(signs(watch.take(b"9\r\n{\"index\"")), (false, false));
@@ -63,8 +63,8 @@
 fn error_status_or_truncated_list_is_a_failure() {
     assert!(Asking::fetch().take(b"HTTP/1.1 503 Busy\r\n\r\n").fault.is_some());
     let mut asking = Asking::fetch();
-    let taken = asking.take(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":1");
-    assert!(lists_of(taken).is_empty());
+    let received = asking.take(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":1");
+    assert!(lists_of(received).is_empty());
     assert!(asking.ended().is_err());
 }
 
--- a/crates/whinhill-platform/src/peer.rs
+++ b/crates/whinhill-platform/src/peer.rs
@@ -84,7 +84,7 @@
     }
 
     /// Handles received bytes. Messages before an error are still valid.
-    pub fn take(&mut self, bytes: &[u8], names: &Names, heard: &mut Vec<Heard>) -> Result<(), PeerError> {
+    pub fn take(&mut self, bytes: &[u8], names: &Names, messages: &mut Vec<Heard>) -> Result<(), PeerError> {
         self.lines.push(bytes);
         while let Some(line) = self.lines.next_line()? {
             let message = parse_object(line).ok_or(PeerError::Malformed)?;
@@ -92,11 +92,11 @@
             match parse_message(&message, joined, names) {
                 Ok(Heard::Joined(zone)) => {
                     self.zone = Some(zone);
-                    heard.push(Heard::Joined(zone));
+                    messages.push(Heard::Joined(zone));
                     self.lines.set_max_bytes(MAX_MESSAGE_BYTES);
                 }
-                Ok(other) => heard.push(other),
-                Err(error) if joined => heard.push(Heard::Dropped(error)),
+                Ok(other) => messages.push(other),
+                Err(error) if joined => messages.push(Heard::Dropped(error)),
                 Err(ReportError::Unknown("site")) => return Err(PeerError::UnknownZone),
                 Err(_) => return Err(PeerError::NotJoined),
             }
--- a/crates/whinhill-platform/src/peer/tests.rs
+++ b/crates/whinhill-platform/src/peer/tests.rs
@@ -8,9 +8,9 @@
 }
 
 fn receive(input: &[u8], piece: usize) -> (Vec<Heard>, Result<(), PeerError>) {
-    let (mut peer, mut heard) = (Peer::default(), Vec::new());
-    let result = input.chunks(piece).try_for_each(|bytes| peer.take(bytes, &names(), &mut heard));
-    (heard, result)
+    let (mut peer, mut messages) = (Peer::default(), Vec::new());
+    let result = input.chunks(piece).try_for_each(|bytes| peer.take(bytes, &names(), &mut messages));
+    (messages, result)
 }
 
 const DEMAND: &str =
@@ -21,10 +21,10 @@
     let input =
         format!("{{\"@type\":\"agent\",\"site\":\"a\"}}\n{DEMAND}{}{DEMAND}", DEMAND.replace("look", "x"));
     for piece in [1, 5, 1000] {
-        let (heard, result) = receive(input.as_bytes(), piece);
+        let (messages, result) = receive(input.as_bytes(), piece);
         assert_eq!(result, Ok(()));
         assert!(matches!(
-            heard[..],
+            messages[..],
             [
                 Heard::Joined(0),
                 Heard::Report(_),
@@ -57,6 +57,6 @@
 #[test]
 fn collector_that_sends_garbage_is_refused() {
     let input = format!("{{\"@type\":\"agent\",\"site\":\"a\"}}\n{DEMAND}\u{1}garbage");
-    let (heard, result) = receive(input.as_bytes(), 7);
-    assert_eq!((heard.len(), result), (2, Err(PeerError::Malformed)));
+    let (messages, result) = receive(input.as_bytes(), 7);
+    assert_eq!((messages.len(), result), (2, Err(PeerError::Malformed)));
 }
--- a/crates/whinhill-platform/src/relay/calls.rs
+++ b/crates/whinhill-platform/src/relay/calls.rs
@@ -246,10 +246,10 @@
         Outcome::Short { dropped }
     }
 
-    /// Handles a broken connection or a timeout. `whole`: the last byte of the call may have reached the relay.
-    pub fn lost(&mut self, now: Duration, whole: bool) -> Outcome {
+    /// Handles a broken connection or a timeout. `fully_sent`: the last byte of the call may have reached the relay.
+    pub fn lost(&mut self, now: Duration, fully_sent: bool) -> Outcome {
         match self.in_flight.take() {
-            Some(call) if whole => self.requeue_unknown(now, call),
+            Some(call) if fully_sent => self.requeue_unknown(now, call),
             Some(call) => {
                 self.requeue(call);
                 Outcome::NotDone { reason: "not sent".to_string() }
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The pending work of a slice, as far as orders for its line tell.
+    /// The pending work of a slice, as far as it follows from orders for its line.
     pub fn owed(&self, slice: SliceId) -> Owed {
         let sets_line =
             |q: &QueuedOrder| matches!(&q.order, RelayOrder::Line { slice: s, .. } if *s == slice);
@@ -317,13 +317,13 @@
         std::mem::take(&mut self.confirmed)
     }
 
-    /// The transit time from the assigner's order until its effect at a proxy. A proxy reports `way`, the transit
-    /// time from the call on. The time before the call, in the queue or in calls that had to be sent again, is added
+    /// The transit time from the assigner's order until its effect at a proxy. A proxy reports `transit`, the time from
+    /// the call on. The time before the call, in the queue or in calls that had to be sent again, is added
     /// here; otherwise writes would be assumed to have ended before they have.
-    pub fn since_order(&self, now: Duration, mark: u16, way: Duration) -> Duration {
-        let times = self.ack_times.iter().find(|times| times.ack_seq == mark);
+    pub fn since_order(&self, now: Duration, ack_seq: u16, transit: Duration) -> Duration {
+        let times = self.ack_times.iter().find(|times| times.ack_seq == ack_seq);
         // A proxy may report any time. The bound keeps sums of it from overflowing.
-        let transit = way.min(MAX_TRANSIT);
+        let transit = transit.min(MAX_TRANSIT);
         times.map_or(MAX_TRANSIT, |times| {
             times.accepted_at.unwrap_or(now).saturating_sub(times.ordered_at) + transit
         })
--- a/crates/whinhill-platform/src/relay/news.rs
+++ b/crates/whinhill-platform/src/relay/news.rs
@@ -266,13 +266,13 @@
         place: Place,
         now: Duration,
         names: &mut Names,
-        owed: impl Fn(SliceId) -> Owed,
-        told: &mut Vec<Told>,
+        pending_work: impl Fn(SliceId) -> Owed,
+        updates: &mut Vec<Told>,
     ) -> bool {
         let Some(stream) = self.stream_mut(place).take() else { return true };
         let alive = now < stream.received_at + HEARTBEAT_TIMEOUT;
         if stream.phase == Phase::Snapshot && now >= stream.received_at + SNAPSHOT_IDLE_DURATION {
-            self.complete_snapshot(place, stream, names, owed, told);
+            self.complete_snapshot(place, stream, names, pending_work, updates);
         } else {
             *self.stream_mut(place) = Some(stream);
         }
@@ -309,15 +309,15 @@
         }
     }
 
-    /// Handles received bytes. `owed` tells what is pending for a slice; updates are appended to `told`.
+    /// Handles received bytes. `pending_work` returns what is pending for a slice. Changes are appended to `updates`.
     pub fn take(
         &mut self,
         place: Place,
         now: Duration,
         bytes: &[u8],
         names: &mut Names,
-        owed: impl Fn(SliceId) -> Owed,
-        told: &mut Vec<Told>,
+        pending_work: impl Fn(SliceId) -> Owed,
+        updates: &mut Vec<Told>,
     ) -> Result<(), WatchError> {
         let (mut place, Some(mut stream)) = (place, self.stream_mut(place).take()) else { return Ok(()) };
         stream.received_at = now;
@@ -342,17 +342,17 @@
             };
             match message {
                 Message::Heartbeat if stream.phase == Phase::Snapshot => {
-                    self.complete_snapshot(place, stream, names, &owed, told);
+                    self.complete_snapshot(place, stream, names, &pending_work, updates);
                     place = Place::Current;
                     let Some(completed) = self.current.take() else { return Ok(()) };
                     stream = completed;
                 }
                 // An ack counts on either connection, and a duplicate does no harm.
                 Message::Ack(proxy, ack_seq, transit) if self.proxies.contains_key(&proxy) => {
-                    told.push(Told::Acked { proxy, mark: ack_seq, way: transit });
+                    updates.push(Told::Acked { proxy, mark: ack_seq, way: transit });
                 }
                 message if stream.phase == Phase::Live || !self.has_baseline => {
-                    self.apply(message, names, told)
+                    self.apply(message, names, updates)
                 }
                 message => stream.record(&message),
             }
@@ -408,17 +408,17 @@
         place: Place,
         mut stream: Stream,
         names: &mut Names,
-        owed: impl Fn(SliceId) -> Owed,
+        pending_work: impl Fn(SliceId) -> Owed,
         updates: &mut Vec<Told>,
     ) {
         // If the former connection has reported everything until now, nobody else held a slice of ours.
         let unbroken = place == Place::Next && self.live();
-        let again = std::mem::replace(&mut self.has_baseline, true);
+        let after_break = std::mem::replace(&mut self.has_baseline, true);
         let (proxies, slices) = (std::mem::take(&mut stream.proxies), std::mem::take(&mut stream.slices));
         let replaced = std::mem::take(&mut stream.replaced);
         stream.phase = Phase::Live;
         (self.current, self.next) = (Some(stream), None);
-        if again {
+        if after_break {
             self.reconcile_proxies(proxies, updates);
             let released: Vec<SliceId> =
                 self.slices.keys().copied().filter(|s| !slices.contains_key(s)).collect();
@@ -431,9 +431,9 @@
                 };
                 let is_stored = |line: &Option<String>| line.as_slice() == stored;
                 let was_replaced = replaced.get(&slice).is_some_and(|lines| lines.iter().any(is_stored));
-                let (differs, owed) = (!is_stored(known) && !was_replaced, owed(slice));
-                let undisturbed = owed == Owed::Nothing || unbroken;
-                if owed == Owed::Call || !differs && undisturbed {
+                let (differs, pending) = (!is_stored(known) && !was_replaced, pending_work(slice));
+                let undisturbed = pending == Owed::Nothing || unbroken;
+                if pending == Owed::Call || !differs && undisturbed {
                     continue;
                 }
                 updates.push(Told::Anew { slice, differs });
@@ -447,7 +447,7 @@
                 }
             }
         }
-        updates.push(Told::Settled { again });
+        updates.push(Told::Settled { again: after_break });
     }
 
     /// Reports the proxies that joined or left during a break. A proxy in both states has kept its stream, or its ack
--- a/crates/whinhill-platform/src/relay/news/tests.rs
+++ b/crates/whinhill-platform/src/relay/news/tests.rs
@@ -10,25 +10,25 @@
 
 /// Feeds text to the watch stream.
 struct Reader {
-    news: News,
+    state: News,
     names: Names,
 }
 
 impl Reader {
     fn new() -> Self {
-        Reader { news: News::default(), names: names() }
+        Reader { state: News::default(), names: names() }
     }
 
     /// Opens a connection that receives `text` as its snapshot, in pieces of `piece` bytes.
     fn connect(&mut self, text: &str, piece: usize) -> Vec<Told> {
-        self.news.opened(Place::Current, MS);
+        self.state.opened(Place::Current, MS);
         self.receive(&format!("OK\r\n{text}*\r\n"), piece)
     }
 
     fn receive(&mut self, text: &str, piece: usize) -> Vec<Told> {
         let mut updates = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
-            self.news
+            self.state
                 .take(
                     Place::Current,
                     MS,
@@ -91,7 +91,7 @@
         Told::Settled { again: true },
     ];
     assert_eq!(updates, wanted);
-    assert_eq!(reader.news.line_of(88), Some("s-2"));
+    assert_eq!(reader.state.line_of(88), Some("s-2"));
 }
 
 /// A call whose outcome is unknown may have set the line. It is sent again and then determines the line.
@@ -123,11 +123,11 @@
 #[test]
 fn missing_heartbeats_are_a_loss_and_a_pause_completes_the_snapshot() {
     let mut reader = Reader::new();
-    reader.news.opened(Place::Current, MS);
+    reader.state.opened(Place::Current, MS);
     let updates = reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000);
     assert_eq!(updates.len(), 5);
     let mut updates = Vec::new();
-    assert!(reader.news.passed(
+    assert!(reader.state.passed(
         Place::Current,
         MS + SNAPSHOT_IDLE_DURATION,
         &mut reader.names,
@@ -135,14 +135,14 @@
         &mut updates
     ));
     assert_eq!(updates, [Told::Settled { again: false }]);
-    assert!(reader.news.passed(
+    assert!(reader.state.passed(
         Place::Current,
         HEARTBEAT_TIMEOUT,
         &mut reader.names,
         |_| Owed::Nothing,
         &mut updates
     ));
-    assert!(!reader.news.passed(
+    assert!(!reader.state.passed(
         Place::Current,
         MS + HEARTBEAT_TIMEOUT,
         &mut reader.names,
@@ -155,10 +155,11 @@
 fn malformed_lines_are_errors() {
     for text in ["ERR invalid\r\n", "OK\r\n* hello x a 1 1\r\n", "OK\r\n* lease 99 1\r\n", "OK\r\n\x01\r\n"] {
         let mut reader = Reader::new();
-        reader.news.opened(Place::Current, MS);
-        let (news, names) = (&mut reader.news, &mut reader.names);
+        reader.state.opened(Place::Current, MS);
+        let (state, names) = (&mut reader.state, &mut reader.names);
         assert!(
-            news.take(Place::Current, MS, text.as_bytes(), names, |_| Owed::Nothing, &mut Vec::new())
+            state
+                .take(Place::Current, MS, text.as_bytes(), names, |_| Owed::Nothing, &mut Vec::new())
                 .is_err(),
             "{text}"
         );
@@ -172,16 +173,16 @@
 fn line_replaced_by_our_call_during_the_snapshot_does_not_differ() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.news.opened(Place::Current, MS);
+    reader.state.opened(Place::Current, MS);
     assert_eq!(reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000), []);
     let set = |server: &str, on| ConfirmedLine { slice: 88, server: server.to_string(), on };
-    reader.news.confirmed(set("s-1", false));
-    reader.news.confirmed(set("s-2", true));
+    reader.state.confirmed(set("s-1", false));
+    reader.state.confirmed(set("s-2", true));
     assert_eq!(reader.receive("*\r\n", 1000), [Told::Settled { again: true }]);
-    assert_eq!(reader.news.line_of(88), Some("s-2"));
+    assert_eq!(reader.state.line_of(88), Some("s-2"));
     // A line that we neither knew nor set is another assigner's.
-    reader.news.opened(Place::Current, MS);
-    reader.news.confirmed(set("s-3", true));
+    reader.state.opened(Place::Current, MS);
+    reader.state.confirmed(set("s-3", true));
     let updates = reader.receive(&format!("OK\r\n{}*\r\n", SNAPSHOT.replace("s-1", "s-9")), 1000);
     assert_eq!(updates, [Told::Anew { slice: 88, differs: true }, Told::Settled { again: true }]);
 }
@@ -192,16 +193,22 @@
 fn handover_pending_during_a_break_starts_again() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.news.opened(Place::Current, MS);
+    reader.state.opened(Place::Current, MS);
     let mut updates = Vec::new();
     let text = format!("OK\r\n{SNAPSHOT}*\r\n");
     let (begin, end) = text.split_at(text.len() - 3);
-    let owed = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
-    reader.news.take(Place::Current, MS, begin.as_bytes(), &mut reader.names, owed, &mut updates).unwrap();
-    assert!(updates.is_empty() && !reader.news.live());
-    reader.news.take(Place::Current, MS, end.as_bytes(), &mut reader.names, owed, &mut updates).unwrap();
+    let pending_work = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
+    reader
+        .state
+        .take(Place::Current, MS, begin.as_bytes(), &mut reader.names, pending_work, &mut updates)
+        .unwrap();
+    assert!(updates.is_empty() && !reader.state.live());
+    reader
+        .state
+        .take(Place::Current, MS, end.as_bytes(), &mut reader.names, pending_work, &mut updates)
+        .unwrap();
     assert_eq!(updates, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
-    assert!(reader.news.live());
+    assert!(reader.state.live());
 }
 
 /// Where slices are not exclusive, a table may have several lines: the owner's is kept, the others are reported.
@@ -213,14 +220,14 @@
     assert!(reader.connect(&two, 1000).contains(&extra));
     let again = [Told::Anew { slice: 88, differs: true }, extra, Told::Settled { again: true }];
     assert_eq!(reader.connect(&two, 1000), again);
-    assert_eq!(reader.news.line_of(88), Some("s-1"));
+    assert_eq!(reader.state.line_of(88), Some("s-1"));
     // Removing the former owner's line does not remove the next owner's.
-    reader.news.confirmed(ConfirmedLine { slice: 88, server: "s-2".to_string(), on: true });
-    reader.news.confirmed(ConfirmedLine { slice: 88, server: "s-1".to_string(), on: false });
-    assert_eq!(reader.news.line_of(88), Some("s-2"));
+    reader.state.confirmed(ConfirmedLine { slice: 88, server: "s-2".to_string(), on: true });
+    reader.state.confirmed(ConfirmedLine { slice: 88, server: "s-1".to_string(), on: false });
+    assert_eq!(reader.state.line_of(88), Some("s-2"));
     // Once we have ordered a line of the slice, a reported line is taken for ours.
     reader.receive("* lease 5 1\r\n* line 5 s-1 1.0\r\n", 1000);
-    reader.news.line_ordered(5);
+    reader.state.line_ordered(5);
     assert_eq!(reader.receive("* line 5 s-2 1.0\r\n", 1000), []);
 }
 
@@ -230,29 +237,32 @@
 fn connection_to_a_new_address_takes_over_without_a_break() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.news.opened(Place::Next, MS);
-    let owed = |_| Owed::Handover;
+    reader.state.opened(Place::Next, MS);
+    let pending_work = |_| Owed::Handover;
     let mut updates = Vec::new();
-    let (news, names) = (&mut reader.news, &mut reader.names);
-    news.take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, owed, &mut updates).unwrap();
-    assert!(updates.is_empty() && news.live() && news.is_open(Place::Next));
+    let (state, names) = (&mut reader.state, &mut reader.names);
+    state
+        .take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, pending_work, &mut updates)
+        .unwrap();
+    assert!(updates.is_empty() && state.live() && state.is_open(Place::Next));
     // Both connections report changes; an ack may come on either.
     let both = "* bye 18\r\n* hello 20 a 1 0\r\n* lease 9 0\r\n* lease 7 1\r\n* line 7 s-2 1.0\r\n";
-    news.take(Place::Current, MS, both.as_bytes(), names, owed, &mut updates).unwrap();
+    state.take(Place::Current, MS, both.as_bytes(), names, pending_work, &mut updates).unwrap();
     let before = updates.len();
-    news.take(
-        Place::Next,
-        MS,
-        format!("{both}* ack 17 5 1.0\r\n*\r\n").as_bytes(),
-        names,
-        owed,
-        &mut updates,
-    )
-    .unwrap();
+    state
+        .take(
+            Place::Next,
+            MS,
+            format!("{both}* ack 17 5 1.0\r\n*\r\n").as_bytes(),
+            names,
+            pending_work,
+            &mut updates,
+        )
+        .unwrap();
     let wanted = [Told::Acked { proxy: 17, mark: 5, way: MS }, Told::Settled { again: true }];
     assert_eq!((before, &updates[before..]), (5, wanted.as_slice()));
-    assert!(news.live() && !news.is_open(Place::Next));
-    assert_eq!((news.line_of(7), news.line_of(88), news.slices()), (Some("s-2"), Some("s-1"), 2));
+    assert!(state.live() && !state.is_open(Place::Next));
+    assert_eq!((state.line_of(7), state.line_of(88), state.slices()), (Some("s-2"), Some("s-1"), 2));
 }
 
 /// The former connection ends before the snapshot of the new one is complete: that is a break like any other.
@@ -260,16 +270,18 @@
 fn former_connection_that_ends_too_early_is_a_break() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.news.opened(Place::Next, MS);
-    let owed = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
+    reader.state.opened(Place::Next, MS);
+    let pending_work = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
     let mut updates = Vec::new();
-    let (news, names) = (&mut reader.news, &mut reader.names);
-    news.take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, owed, &mut updates).unwrap();
-    news.closed(Place::Current);
-    assert!(!news.live());
-    news.take(Place::Next, MS, b"*\r\n", names, owed, &mut updates).unwrap();
+    let (state, names) = (&mut reader.state, &mut reader.names);
+    state
+        .take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, pending_work, &mut updates)
+        .unwrap();
+    state.closed(Place::Current);
+    assert!(!state.live());
+    state.take(Place::Next, MS, b"*\r\n", names, pending_work, &mut updates).unwrap();
     assert_eq!(updates, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
-    assert!(news.live());
+    assert!(state.live());
 }
 
 /// The first connection is closed, or sends a malformed line, before its snapshot is complete.
@@ -277,15 +289,15 @@
 fn partial_snapshot_is_compared_with_the_next_one() {
     for garbage in [false, true] {
         let mut reader = Reader::new();
-        reader.news.opened(Place::Current, MS);
+        reader.state.opened(Place::Current, MS);
         reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000);
         if garbage {
-            let (news, names) = (&mut reader.news, &mut reader.names);
-            assert!(news
+            let (state, names) = (&mut reader.state, &mut reader.names);
+            assert!(state
                 .take(Place::Current, MS, b"\x01\r\n", names, |_| Owed::Nothing, &mut Vec::new())
                 .is_err());
         }
-        reader.news.closed(Place::Current);
+        reader.state.closed(Place::Current);
         let updates = reader.connect("* hello 17 a 21.5 1\r\n* lease 88 1\r\n* line 88 s-1 1.0\r\n", 1000);
         let departures = [Told::Event(Event::Left { proxy: 18 }), Told::Event(Event::Taken { slice: 9 })];
         assert_eq!(updates, [departures.as_slice(), &[Told::Settled { again: true }]].concat());
--- a/crates/whinhill-platform/src/reports.rs
+++ b/crates/whinhill-platform/src/reports.rs
@@ -14,7 +14,7 @@
 /// Largest figure of a load report, in milliseconds or RPCs.
 const MAX_LOAD_FIGURE: f64 = 1e6;
 
-/// Why a report was dropped. Each variant names the field at fault.
+/// Why a report was dropped. The value is the name of the invalid field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
     /// The field is missing or has the wrong type.
--- a/crates/whinhill-platform/tests/mangled.rs
+++ b/crates/whinhill-platform/tests/mangled.rs
@@ -89,19 +89,19 @@
 #[test]
 fn peer_messages_are_the_same_in_pieces() {
     assert_same_in_pieces(PEER, |pieces| {
-        let (mut peer, mut heard) = (Peer::default(), Vec::new());
-        let result = pieces.iter().try_for_each(|bytes| peer.take(bytes, &names(), &mut heard));
-        (heard, result)
+        let (mut peer, mut messages) = (Peer::default(), Vec::new());
+        let result = pieces.iter().try_for_each(|bytes| peer.take(bytes, &names(), &mut messages));
+        (messages, result)
     });
 }
 
 #[test]
 fn watch_updates_are_the_same_in_pieces() {
     assert_same_in_pieces(WATCH_STREAM, |pieces| {
-        let (mut news, mut names, mut updates) = (News::default(), names(), Vec::new());
-        news.opened(Place::Current, Duration::ZERO);
+        let (mut state, mut names, mut updates) = (News::default(), names(), Vec::new());
+        state.opened(Place::Current, Duration::ZERO);
         let result = pieces.iter().try_for_each(|bytes| {
-            news.take(Place::Current, Duration::ZERO, bytes, &mut names, |_| Owed::Nothing, &mut updates)
+            state.take(Place::Current, Duration::ZERO, bytes, &mut names, |_| Owed::Nothing, &mut updates)
         });
         (updates, result.map_err(|error| error.to_string()))
     });
@@ -117,9 +117,9 @@
         assert_same_in_pieces(&answer, |pieces| {
             let (mut asking, mut lists) = (asking(), Vec::new());
             let result = pieces.iter().try_for_each(|bytes| {
-                let taken = asking.take(bytes);
-                lists.extend(taken.lists);
-                taken.fault.map_or(Ok(()), |fault| Err(fault.to_string()))
+                let received = asking.take(bytes);
+                lists.extend(received.lists);
+                received.fault.map_or(Ok(()), |error| Err(error.to_string()))
             });
             (lists, result.is_ok())
         });
