--- a/crates/whinhill/src/assigner.rs
+++ b/crates/whinhill/src/assigner.rs
@@ -1,6 +1,6 @@
-//! Every decision of the control plane. [`Assigner::handle`] is the one entry point: it takes all that
-//! happened at one time and returns what is to be done, in order; one call's orders become one message
-//! for each proxy. The types stand in `interface.rs`, the reasons and the sources in `docs/design.md`.
+//! The decisions of the control plane. [`Assigner::handle`] is the one entry point that decides: it takes all that
+//! happened at one time and returns the orders to carry out, in sequence. The orders of one call become one message
+//! for each proxy. The types of events and orders are in `interface.rs`, the reasons and sources in `docs/design.md`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,36 +36,45 @@
 use tuning::*;
 pub(crate) use tuning::{PROBE_MEMORY_HALF_LIFE, REPORT_LAG_INTERVALS};
 
-/// Every decision of one assigner, and what it remembers.
+/// Makes every decision of one assigner, and keeps the state that it needs for that.
 pub struct Assigner {
     cfg: Config,
     rng: ChaCha8Rng,
+    /// The time of the current call, or of the last one.
     now: Duration,
+    /// By endpoint index.
     servers: Vec<Server>,
+    /// The proxies that have joined at least once.
     proxies: BTreeMap<ProxyId, Proxy>,
     slices: Vec<Slice>,
+    /// For each slice, the servers' indices in its rendezvous order, the same at every assigner.
     rendezvous_order: Vec<Vec<usize>>,
-    /// RPCs that came for our slices, by method.
+    /// RPCs that came for the slices in custody, by method.
     method_rpcs: Vec<DecayingSum>,
-    /// The usual stretch of a report, in which measures halve.
+    /// The usual reporting interval; it is the half-life of the measures.
     half_life: Duration,
-    /// The last batches of reports, oldest first, and how late they come in seconds, once that is known.
+    /// The last batches of reports, oldest first.
     report_batches: VecDeque<ReportBatch>,
+    /// How late reports come, in seconds; `None` until that is learned.
     report_lag_s: Option<f64>,
-    /// Time of service in seconds from which a server counts as slow against its peers.
+    /// Service time in seconds from which a server is slow in comparison with its peers.
     slow_service_time: f64,
+    /// When the next period's work is due; reports may start it earlier, and their absence delays it.
     next_period_at: Duration,
     next_probes_at: Duration,
     subscription: ListSubscription,
     plan: Plan,
     channel: Channel,
-    /// Handovers that ended with a grant, and the longest that one took.
+    /// Handovers that ended with a grant.
     grant_count: u64,
+    /// The longest time that such a handover took.
     longest_handover: Duration,
+    /// The orders of the current call.
     output: Vec<Order>,
 }
 
 impl Assigner {
+    /// An assigner without any servers, proxies or slices; `seed` starts its random draws.
     pub fn new(settings: &Settings, seed: u64) -> Result<Self, SettingsError> {
         let cfg = Config::read(settings)?;
         Ok(Assigner {
@@ -92,34 +101,38 @@
         })
     }
 
-    /// Takes all that happened at `now` and returns the orders, safety first.
+    /// Applies all that happened at `now` and returns the orders to carry out, those that safety depends on first.
     pub fn handle(&mut self, now: Duration, events: &[Event]) -> Vec<Order> {
         self.now = now;
-        // Where more is told than the feed carries, reports come late, each for a longer stretch.
-        let spans: Vec<Duration> = events.iter().filter_map(Event::span).collect();
-        let told =
-            !spans.is_empty() && now + self.cfg.period.mul_f64(EARLY_PERIOD_FRACTION) >= self.next_period_at;
-        let usual = (spans.len() > self.ready_servers().count()).then(|| median(spans)).flatten();
-        self.half_life = usual.map_or(self.half_life, |usual| usual.max(self.cfg.period));
+        let intervals: Vec<Duration> = events.iter().filter_map(Event::span).collect();
+        let reports_start_period = !intervals.is_empty()
+            && now + self.cfg.period.mul_f64(EARLY_PERIOD_FRACTION) >= self.next_period_at;
+        // When there is more to report than the feed carries, reports come late, and each covers a longer interval.
+        let has_many_reports = intervals.len() > self.ready_servers().count();
+        let usual_interval = has_many_reports.then(|| median(intervals)).flatten();
+        self.half_life = usual_interval.map_or(self.half_life, |interval| interval.max(self.cfg.period));
+
         events.iter().for_each(|event| self.apply_event(event));
         if self.rendezvous_order.first().is_some_and(|order| order.len() < self.servers.len()) {
             self.rank_servers();
         }
-        // Asks for changes of the list after a failure, and when nothing has come for long.
+        // Requests the list after a failure, and when nothing has come for long.
         if self.subscription.request_at.is_some_and(|at| now >= at) {
             self.output.extend(self.cfg.watch_list.then_some(Order::Watch));
             self.subscription.request_at = Some(now + self.cfg.max_list_request_interval / 2);
         }
         self.update_suspicions();
-        let period = told || now >= self.next_period_at;
-        if period {
+        let is_period = reports_start_period || now >= self.next_period_at;
+        if is_period {
             self.next_period_at = now + self.cfg.period.mul_f64(PERIOD_TIMEOUT_FACTOR);
             self.evaluate_servers();
             self.make_plan();
         }
-        if self.order_probes(period) && !period {
+        let has_probed = self.order_probes(is_period);
+        if has_probed && !is_period {
             self.evaluate_health();
         }
+
         if now >= self.channel.wake_at && self.channel_is_below(NOTIFY_FILL) {
             self.notify_joined_proxies();
         }
@@ -127,29 +140,30 @@
         self.evacuate();
         self.grant_settled_slices();
         self.run_next_batch();
-        let draws = period || self.output.iter().any(|order| matches!(order, Order::Grant { .. }));
-        if draws && self.cfg.admission == Admission::Share {
+        let has_granted = || self.output.iter().any(|order| matches!(order, Order::Grant { .. }));
+        if (is_period || has_granted()) && self.cfg.admission == Admission::Share {
             self.set_criticality_cutoffs();
         }
-        self.order_levels(period);
+        self.order_levels(is_period);
         self.finish_reply()
     }
 
     fn apply_event(&mut self, event: &Event) {
-        let (now, half) = (self.now, self.half_life);
-        event.span().into_iter().for_each(|span| self.record_report(span));
+        let (now, half_life) = (self.now, self.half_life);
+        event.span().into_iter().for_each(|interval| self.record_report(interval));
         match event {
             Event::List { kind, entries } => self.apply_list(*kind, entries),
             Event::Met { ep, tries, lost, wait, load, span, .. } => {
-                self.server_mut(*ep).record_tries(now, half, (*tries, *lost), *wait, *span);
-                let batch = self.report_batches.back().map_or(now, |batch| batch.began_at);
-                self.server_mut(*ep).record_batch_answers(batch, *tries, *lost, REMEMBERED_BATCHES);
+                self.server_mut(*ep).record_tries(now, half_life, (*tries, *lost), *wait, *span);
+                let batch_began_at = self.report_batches.back().map_or(now, |batch| batch.began_at);
+                let server = self.server_mut(*ep);
+                server.record_batch_answers(batch_began_at, *tries, *lost, REMEMBERED_BATCHES);
                 self.apply_load_report(*ep, load);
             }
             Event::Demand { slice, method, rpcs, span, .. } => {
                 let work = self.work_per_rpc(*method) * *rpcs as f64;
-                self.method_rpcs[*method].add(now, half, *rpcs as f64, *span);
-                self.slices[*slice].demand.add(now, half, work, *span);
+                self.method_rpcs[*method].add(now, half_life, *rpcs as f64, *span);
+                self.slices[*slice].demand.add(now, half_life, work, *span);
             }
             Event::Probed { ep, result, load } => {
                 self.apply_probe_result(*ep, *result);
@@ -158,45 +172,56 @@
             Event::Joined { proxy, zone } => self.proxy_joined(*proxy, *zone),
             Event::Left { proxy } => self.proxy_left(*proxy),
             Event::Acked { proxy, mark, way } => self.proxy_acked(*proxy, *mark, *way),
-            Event::Given { slice } => {
-                let joined = self.proxies.iter().filter(|(_, p)| p.joined && self.cfg.fence_writes);
-                let untold = ProxyAck { state: AckState::NotNotified, lease_ends_at: None };
-                let awaits = joined.map(|(id, _)| (*id, untold)).collect();
-                // Its line may still be told.
-                let line = self.now + self.cfg.max_transit;
-                let quiet =
-                    if self.cfg.fence_writes { self.unknown_proxies_write_until(self.now) } else { line };
-                self.slices[*slice] = Slice {
-                    in_custody: true,
-                    acquired_at: self.now,
-                    handover: Some(Handover {
-                        acks: awaits,
-                        acked_writes_end_at: quiet,
-                        revoked: true,
-                        started_at: self.now,
-                        revoked_at: Some(self.now),
-                        ..Handover::default()
-                    }),
-                    movable_from: self.now + self.cfg.write_lease + self.cfg.settle_time,
-                    published_levels: vec![1.0; self.cfg.methods.len()],
-                    ..Slice::default()
-                };
-            }
+            Event::Given { slice } => self.acquire_slice(*slice),
             Event::Taken { slice } => self.slices[*slice] = Slice::default(),
-            Event::Stored { slice, ep } => {
-                // What we heard of an owner before its slice was ours says little: it is judged afresh.
-                let first = self.now + self.cfg.max_transit + self.half_life;
-                let server = self.server_mut(*ep);
-                (server.seen_serving, server.unhealthy_until, server.last_ok_at) =
-                    (true, None, server.last_ok_at.max(first));
-                let owner = Some(server.endpoint.index);
-                (self.slices[*slice].owner, self.slices[*slice].handover) = (owner, None);
-            }
+            Event::Stored { slice, ep } => self.restore_owner(*slice, *ep),
             Event::Wished { slice, to } => {
-                let to = self.server_mut(*to).endpoint.index;
-                self.plan.requested_moves.insert(*slice, to);
+                let destination = self.server_mut(*to).endpoint.index;
+                self.plan.requested_moves.insert(*slice, destination);
             }
             Event::Timer => {}
         }
     }
+
+    /// Custody of a slice was acquired. Unless the store names its owner, a handover without a line finds one.
+    fn acquire_slice(&mut self, slice: SliceId) {
+        let joined = self.proxies.iter().filter(|(_, proxy)| proxy.joined && self.cfg.fence_writes);
+        let not_notified = ProxyAck { state: AckState::NotNotified, lease_ends_at: None };
+        let acks = joined.map(|(id, _)| (*id, not_notified)).collect();
+        // A line that the former assigner has published may still be in transit.
+        let former_line_arrives_by = self.now + self.cfg.max_transit;
+        let acked_writes_end_at = if self.cfg.fence_writes {
+            self.unknown_proxies_write_until(self.now)
+        } else {
+            former_line_arrives_by
+        };
+        self.slices[slice] = Slice {
+            in_custody: true,
+            acquired_at: self.now,
+            handover: Some(Handover {
+                acks,
+                acked_writes_end_at,
+                revoked: true,
+                started_at: self.now,
+                revoked_at: Some(self.now),
+                ..Handover::default()
+            }),
+            movable_from: self.now + self.cfg.write_lease + self.cfg.settle_time,
+            published_levels: vec![1.0; self.cfg.methods.len()],
+            ..Slice::default()
+        };
+    }
+
+    /// The store names the owner of a slice that was just acquired: it keeps the slice.
+    fn restore_owner(&mut self, slice: SliceId, ep: Ep) {
+        // What was known of the owner before custody of its slice says little: its health is evaluated afresh.
+        let first_answer_by = self.now + self.cfg.max_transit + self.half_life;
+        let server = self.server_mut(ep);
+        server.seen_serving = true;
+        server.unhealthy_until = None;
+        server.last_ok_at = server.last_ok_at.max(first_answer_by);
+        let owner = Some(server.endpoint.index);
+        self.slices[slice].owner = owner;
+        self.slices[slice].handover = None;
+    }
 }
--- a/crates/whinhill/src/lib.rs
+++ b/crates/whinhill/src/lib.rs
@@ -1,6 +1,6 @@
-//! whinhill: which server owns each slice, for a service's plain proxies.
+//! The decision module of a control plane: which server owns each slice, and what proxies admit for it.
 //!
-//! [`Assigner`] holds every decision; [`interface`] holds the types that it takes and returns.
+//! [`Assigner`] makes every decision; [`interface`] has the events that it takes and the orders that it returns.
 
 mod assigner;
 pub mod interface;
--- a/crates/whinhill/src/settings.rs
+++ b/crates/whinhill/src/settings.rs
@@ -1,67 +1,85 @@
-//! The settings that the module works by, read once. No decisions.
+//! The configuration of the decisions, read once from the settings.
 
 use std::time::Duration;
 
 use crate::interface::{Settings, SettingsError};
 
+/// A method of the service.
 pub struct Method {
     pub soft_deadline: Duration,
     pub criticality: f64,
     pub writes: bool,
 }
 
-/// How proxies follow levels.
+/// How proxies apply levels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A level is the share that is let in.
+    /// A level is the share of the RPCs that is admitted.
     Share,
-    /// A level is the RPCs a second that each proxy lets in.
+    /// A level is the number of RPCs a second that each proxy admits.
     Rate,
-    /// Levels are not followed.
+    /// Levels are not applied.
     Off,
 }
 
+/// The configuration. `Duration::from_secs(u32::MAX)` stands for a time that never comes.
 pub struct Config {
+    /// The list is followed by a subscription to its changes.
     pub watch_list: bool,
+    /// The list must be requested again within this time.
     pub max_list_request_interval: Duration,
-    /// A server that the list only drops need not leave the tables.
+    /// A server that the list merely drops may stay in the tables.
     pub gone_is_advisory: bool,
     pub may_probe: bool,
     pub methods: Vec<Method>,
-    /// The methods, least critical first.
+    /// The methods' indices, least critical first.
     pub methods_by_criticality: Vec<usize>,
-    /// In seconds.
+    /// The mean soft deadline of the methods, in seconds.
     pub mean_soft_deadline_s: f64,
+    /// The number of tries of an RPC that levels tell proxies.
     pub tries: u8,
+    /// The time between evaluations of the fleet, and between reports.
     pub period: Duration,
     /// A slice has one line, and writes go to one server at a time.
     pub exclusive: bool,
-    /// Writes to a slice must have ended at one owner before the next gets any.
+    /// Writes to a slice must have ended at one owner before the next one gets any.
     pub fence_writes: bool,
     pub admission: Admission,
+    /// How long a proxy goes on writing by its table after it has lost its stream; zero where writes are not fenced.
     pub write_lease: Duration,
-    /// All that there are, across all assigners.
+    /// The number of proxies, across all assigners.
     pub total_proxies: usize,
-    /// All that there are, this one with them.
+    /// The number of assigners, this one included.
     pub total_assigners: usize,
+    /// How long an RPC may be in flight; zero where writes are not fenced.
     pub settle_time: Duration,
-    /// For how long a proxy may have no line.
+    /// How long a proxy may have no line for a slice.
     pub max_time_without_line: Duration,
-    /// How long a guarded move of a slice takes.
+    /// How long a fenced move of a slice takes.
     pub fenced_move_time: Duration,
+    /// The time after which a drained server must be sent nothing more.
     pub drain_grace: Duration,
+    /// The longest time from sending an order until it takes effect at a proxy.
     pub max_transit: Duration,
+    /// The age at which a server has its full capacity.
     pub warm_up_time: Duration,
+    /// The fraction of its capacity that a server has when it starts.
     pub cold_capacity: f64,
+    /// The load, as a multiple of its present capacity, at which a cold server collapses.
     pub collapse_multiple: f64,
+    /// The overhead of a message, in lines.
     pub message_overhead_lines: f64,
+    /// The lines a second that the channel to the proxies sends.
     pub lines_per_s: f64,
+    /// The lines that may be queued in the channel.
     pub max_backlog_lines: f64,
+    /// The number of messages that may be sent within `message_window`; 0: any number.
     pub max_messages: usize,
     pub message_window: Duration,
 }
 
 impl Config {
+    /// Reads the configuration; an error names the first setting that is missing or malformed.
     pub fn read(settings: &Settings) -> Result<Self, SettingsError> {
         let writes = settings.flags("familyInfo.mutating")?;
         let method = |k: usize| {
@@ -71,15 +89,15 @@
                 writes: writes.get(k).copied().unwrap_or(true),
             })
         };
-        let watch = settings.get::<String>("discovery")? == "subscribe";
+        let watch_list = settings.get::<String>("discovery")? == "subscribe";
         let methods: Vec<Method> =
             (0..settings.get("classes.count")?).map(method).collect::<Result<_, _>>()?;
-        let mean_soft =
+        let mean_soft_deadline_s =
             methods.iter().map(|m| m.soft_deadline.as_secs_f64()).sum::<f64>() / methods.len().max(1) as f64;
-        let mut ranks: Vec<usize> = (0..methods.len()).collect();
-        ranks.sort_by(|a, b| methods[*a].criticality.total_cmp(&methods[*b].criticality));
+        let mut methods_by_criticality: Vec<usize> = (0..methods.len()).collect();
+        methods_by_criticality.sort_by(|a, b| methods[*a].criticality.total_cmp(&methods[*b].criticality));
         let exclusive = settings.optional(settings.flag("familyInfo.oneOwner"))?.unwrap_or(true);
-        let guarded = exclusive && methods.iter().any(|m| m.writes);
+        let fence_writes = exclusive && methods.iter().any(|m| m.writes);
         let admission = match settings.optional(settings.get::<String>("familyInfo.admission"))?.as_deref() {
             None | Some("share") => Admission::Share,
             Some("rate") => Admission::Rate,
@@ -89,34 +107,35 @@
                 return Err(SettingsError { path, value });
             }
         };
-        // Where nothing is guarded these say nothing, and may be absent.
-        let guard = |path: &str| match guarded {
+        // Where writes are not fenced, these durations have no effect and may be absent.
+        let fencing_duration = |path: &str| match fence_writes {
             true => settings.span(path),
             false => Ok(settings.optional(settings.span(path))?.unwrap_or_default()),
         };
-        let (lease, settle) = (guard("familyInfo.writeLease")?, guard("familyInfo.inFlightMax")?);
-        let waits = |time: Duration| if guarded { time } else { Duration::ZERO };
-        // Absent where nothing need be asked: then never.
+        let write_lease = fencing_duration("familyInfo.writeLease")?;
+        let settle_time = fencing_duration("familyInfo.inFlightMax")?;
+        let if_fenced = |time: Duration| if fence_writes { time } else { Duration::ZERO };
+        // Stands for absent limits: then the list need never be requested, and a line may be missing for ever.
         let never = Duration::from_secs(u64::from(u32::MAX));
         Ok(Config {
-            watch_list: watch,
+            watch_list,
             max_list_request_interval: settings.optional(settings.span("rules.mustAskIn"))?.unwrap_or(never),
             gone_is_advisory: settings.optional(settings.flag("rules.goneIsAdvice"))?.unwrap_or(false),
             may_probe: settings.flag("caps.mayProbe")?,
             methods,
-            methods_by_criticality: ranks,
-            mean_soft_deadline_s: mean_soft,
+            methods_by_criticality,
+            mean_soft_deadline_s,
             tries: settings.get("familyInfo.retryDefault")?,
             period: settings.span("familyInfo.period")?.max(Duration::from_millis(1)),
             exclusive,
-            fence_writes: guarded,
+            fence_writes,
             admission,
-            write_lease: waits(lease),
-            fenced_move_time: lease + settle,
-            // Absent where nobody counts them: then some may always be unheard of.
+            write_lease: if_fenced(write_lease),
+            fenced_move_time: write_lease + settle_time,
+            // Absent where the proxies are not counted: then some may never have joined.
             total_proxies: settings.optional(settings.get("familyInfo.dataPlaneSize"))?.unwrap_or(usize::MAX),
             total_assigners: settings.optional(settings.get("peersTotal"))?.unwrap_or(1),
-            settle_time: waits(settle),
+            settle_time: if_fenced(settle_time),
             max_time_without_line: settings.optional(settings.span("familyInfo.emptyFor"))?.unwrap_or(never),
             drain_grace: settings.span("rules.stopSendingWithin")?,
             max_transit: settings.span("familyInfo.transitMax")?,
--- a/crates/whinhill/src/state.rs
+++ b/crates/whinhill/src/state.rs
@@ -1,4 +1,4 @@
-//! What the module remembers. Types only: no decisions.
+//! The state that an assigner keeps between calls: types and their bookkeeping, without decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,127 +6,152 @@
 use crate::assigner::{PROBE_MEMORY_HALF_LIFE, REPORT_LAG_INTERVALS};
 use crate::interface::{Entry, Ep, Listed, ProxyId, SliceId, ZoneId};
 
-/// A sum that halves every `half`, brought up to date when it is read. What a report tells counts as spread
-/// over its stretch, up to one `half`.
+/// A sum that decays exponentially, brought up to date when it is read or added to.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
+    /// The sum at `updated_at`.
     pub value: f64,
+    /// When something was last added.
     pub updated_at: Duration,
 }
 
 impl DecayingSum {
-    pub fn read(&self, now: Duration, half: Duration) -> f64 {
-        self.value * 0.5f64.powf(now.saturating_sub(self.updated_at).as_secs_f64() / half.as_secs_f64())
+    /// The sum at `now`.
+    pub fn read(&self, now: Duration, half_life: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated_at);
+        self.value * 0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
     }
 
-    /// What came in a second.
-    pub fn rate(&self, now: Duration, half: Duration) -> f64 {
-        self.read(now, half) * std::f64::consts::LN_2 / half.as_secs_f64()
+    /// What was added per second of late.
+    pub fn rate(&self, now: Duration, half_life: Duration) -> f64 {
+        self.read(now, half_life) * std::f64::consts::LN_2 / half_life.as_secs_f64()
     }
 
-    pub fn add(&mut self, now: Duration, half: Duration, x: f64, span: Duration) {
-        let fade = |age: Duration| 0.5f64.powf(age.as_secs_f64() / half.as_secs_f64());
-        let age = span.clamp(Duration::from_millis(1), half).as_secs_f64() / half.as_secs_f64();
-        let mean = (1.0 - 0.5f64.powf(age)) / (age * 0.5);
-        *self = DecayingSum {
-            value: self.value * fade(now.saturating_sub(self.updated_at)) + x * mean,
-            updated_at: now,
-        };
+    /// Adds an amount that a report covers. It counts as spread evenly over the report's interval, up to one half-life.
+    pub fn add(&mut self, now: Duration, half_life: Duration, amount: f64, interval: Duration) {
+        let decay = |age: Duration| 0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64());
+        let interval = interval.clamp(Duration::from_millis(1), half_life);
+        let half_lives = interval.as_secs_f64() / half_life.as_secs_f64();
+        let mean_decay = (1.0 - 0.5f64.powf(half_lives)) / (half_lives * 0.5);
+        let decayed = self.value * decay(now.saturating_sub(self.updated_at));
+        *self = DecayingSum { value: decayed + amount * mean_decay, updated_at: now };
     }
 }
 
-/// The middle one of some values.
+/// The median of some values; the upper one of the middle two where their number is even.
 pub fn median<T: Copy + PartialOrd>(mut values: Vec<T>) -> Option<T> {
     values.sort_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
     values.get(values.len() / 2).copied()
 }
 
+/// What is known of a server.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     pub endpoint: Ep,
     pub zone: ZoneId,
+    /// What the list says of it; still `Ready` where the list dropped it and `dropped_from_list` is set.
     pub listed_status: Listed,
+    /// Its capacity in comparison with other servers' sizes.
     pub size: f64,
+    /// When its process started; `None`: long ago.
     pub started_at: Option<Duration>,
-    /// When we were told that it drains or is gone.
+    /// When it ceased to be ready: the list said that it drains or is gone.
     pub not_ready_since: Duration,
     /// The list has dropped it, but it serves.
     pub dropped_from_list: bool,
     /// It was seen to serve, or the store names it as an owner.
     pub seen_serving: bool,
+    /// Tries that proxies sent there.
     pub tries: DecayingSum,
+    /// Those of the tries that were lost.
     pub lost_tries: DecayingSum,
-    /// Of the answers that were ok: their number, and their waits in seconds.
+    /// Ok answers.
     pub ok_answers: DecayingSum,
+    /// The sum of the waits for ok answers, in seconds.
     pub ok_wait_seconds: DecayingSum,
+    /// When an ok answer was last reported, or by when the first one is expected.
     pub last_ok_at: Duration,
-    /// The least mean wait seen: what it takes when little else is there.
+    /// The least mean wait seen, in seconds: the wait when there is little load.
     pub baseline_wait: Option<f64>,
-    /// Time of service as reported, in seconds.
+    /// The time of service that it reports, in seconds.
     pub service_time: Option<f64>,
+    /// The busy fraction of its cores, smoothed, and when it was reported.
     pub cpu: Option<(f64, Duration)>,
-    /// RPCs that it holds as reported, and when; and how many it held when an ok answer was told of last.
+    /// RPCs in flight there, and when that was reported.
     pub in_flight: Option<(f64, Duration)>,
+    /// How many of them there were when an ok answer was last reported.
     pub in_flight_at_last_ok: f64,
-    /// RPCs that wait there for each that is worked on, as reported, and when.
+    /// RPCs queued there for each one in service, and when that was reported.
     pub queued_per_running: Option<(f64, Duration)>,
+    /// Consecutive probes without an answer.
     pub unanswered_probes: u32,
-    /// When the probe under way was ordered, and the first of those that were not answered.
+    /// When the probe in flight was ordered.
     pub probe_ordered_at: Option<Duration>,
+    /// When the first of the consecutive unanswered probes was ordered.
     pub unresponsive_since: Option<Duration>,
-    /// RPCs a second that we let in there when it missed the first, and since when it is shut out.
+    /// Work a second that was admitted there when it missed that probe.
     pub admitted_rate_at_miss: f64,
+    /// Since when it has been suspected, which keeps RPCs away from it.
     pub suspected_since: Option<Duration>,
-    /// What each of the last batches of reports told of it.
+    /// What each of the last batches of reports said of it, oldest first.
     pub batch_answers: VecDeque<BatchAnswers>,
-    /// When it was granted a slice and had no RPCs of ours before.
+    /// When it was granted a slice while it had none of this assigner's RPCs, until the report lag is learned from it.
     pub granted_while_idle_at: Option<Duration>,
-    /// Probes that it answered of late, and times that it missed some and turned out well.
+    /// Probes that it answered of late.
     pub probes_answered: DecayingSum,
+    /// How often of late it answered again after a miss.
     pub recovered_misses: DecayingSum,
-    /// Misses in a row that make it suspected, and whether it is: then it is shut out.
+    /// Consecutive misses from which it is suspected.
     pub misses_to_suspect: u32,
+    /// Its missed probes make it likely that it has failed: its slices' RPCs are rejected, and it gets no slices.
     pub suspected: bool,
-    /// None of its zone answers probes.
+    /// No healthy server of its zone answers probes.
     pub zone_unresponsive: bool,
-    /// Its probes are not answered though it answers RPCs.
+    /// It answers RPCs though it does not answer probes.
     pub probes_unreliable: bool,
+    /// Until when it stays unhealthy at least; `None`: it is healthy.
     pub unhealthy_until: Option<Duration>,
-    /// When it was called sick last, and what was told of it since.
+    /// When it was last marked unhealthy.
     pub marked_unhealthy_at: Duration,
+    /// Tries that were reported since then.
     pub tries_since_unhealthy: u64,
+    /// Lost tries that were reported since then.
     pub lost_since_unhealthy: u64,
-    /// Whether its answers come late or are lost.
+    /// Its answers come late, or are lost while they are slow.
     pub overloaded: bool,
-    /// Whether ok answers wait there: then lost tries and probes tell of load.
+    /// Ok answers come, but late, or its cores are busy: lost tries and missed probes are signs of load then.
     pub under_load: bool,
-    /// Work a second that it was learned to do, and when that was last cut.
+    /// Work a second that it was learned to be able to do.
     pub learned_limit: Option<f64>,
+    /// When that limit was last lowered.
     pub limit_reduced_at: Option<Duration>,
-    /// The part of the work offered that is shut out.
+    /// The fraction of the work offered that is rejected.
     pub rejected_fraction: f64,
-    /// How many methods, from the least critical up, are shut out; the fraction is the next one's share.
+    /// How many methods, from the least critical on, are rejected; the fraction is the share of the next one.
     pub criticality_cutoff: f64,
 }
 
-/// Reports that came together, and the longest stretch that they cover.
+/// Reports that came together.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportBatch {
+    /// When the first of them came.
     pub began_at: Duration,
+    /// The longest interval that one of them covers.
     pub interval: Duration,
 }
 
-/// What one batch of reports told of a server.
+/// What one batch of reports said of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchAnswers {
-    /// When the batch began to come in.
+    /// When the first report of the batch came.
     pub batch_began_at: Duration,
     pub tries: f64,
+    /// Tries that were not lost.
     pub oks: f64,
 }
 
 impl Server {
-    /// The entry of a list that drops it.
+    /// The entry of a list that drops the server.
     pub fn gone_entry(&self) -> Entry {
         Entry {
             ep: self.endpoint,
@@ -137,298 +162,336 @@
         }
     }
 
-    /// Counts what proxies met here.
+    /// Counts tries that proxies report, with their mean wait.
     pub fn record_tries(
         &mut self,
         now: Duration,
-        half: Duration,
-        met: (u64, u64),
+        half_life: Duration,
+        (tries, lost): (u64, u64),
         wait: Duration,
-        span: Duration,
+        interval: Duration,
     ) {
-        let oks = met.0.saturating_sub(met.1) as f64;
-        self.tries_since_unhealthy = self.tries_since_unhealthy.saturating_add(met.0);
-        self.lost_since_unhealthy = self.lost_since_unhealthy.saturating_add(met.1);
-        self.tries.add(now, half, met.0 as f64, span);
-        self.lost_tries.add(now, half, met.1 as f64, span);
-        self.ok_answers.add(now, half, oks, span);
-        self.ok_wait_seconds.add(now, half, oks * wait.as_secs_f64(), span);
+        let oks = tries.saturating_sub(lost) as f64;
+        self.tries_since_unhealthy = self.tries_since_unhealthy.saturating_add(tries);
+        self.lost_since_unhealthy = self.lost_since_unhealthy.saturating_add(lost);
+        self.tries.add(now, half_life, tries as f64, interval);
+        self.lost_tries.add(now, half_life, lost as f64, interval);
+        self.ok_answers.add(now, half_life, oks, interval);
+        self.ok_wait_seconds.add(now, half_life, oks * wait.as_secs_f64(), interval);
         if oks > 0.0 {
-            (self.last_ok_at, self.seen_serving) = (self.last_ok_at.max(now), true);
-            // A last answer that crosses the report does not explain all that it holds.
-            let in_hand = self.in_flight.map_or(0.0, |(in_hand, _)| in_hand);
-            self.in_flight_at_last_ok = in_hand.min(self.in_flight_at_last_ok + oks);
+            self.last_ok_at = self.last_ok_at.max(now);
+            self.seen_serving = true;
+            // A few last answers that cross the load report do not account for all RPCs that it holds.
+            let in_flight = self.in_flight.map_or(0.0, |(in_flight, _)| in_flight);
+            self.in_flight_at_last_ok = in_flight.min(self.in_flight_at_last_ok + oks);
             self.probes_unreliable |=
-                self.unresponsive_since.is_some_and(|since| now >= since + half * REPORT_LAG_INTERVALS);
+                self.unresponsive_since.is_some_and(|since| now >= since + half_life * REPORT_LAG_INTERVALS);
         }
     }
 
-    /// Notes what a batch of reports told.
-    pub fn record_batch_answers(&mut self, at: Duration, tries: u64, lost: u64, most: usize) {
+    /// Counts tries under the batch in which they were reported, and keeps the last `max_batches` batches.
+    pub fn record_batch_answers(
+        &mut self,
+        batch_began_at: Duration,
+        tries: u64,
+        lost: u64,
+        max_batches: usize,
+    ) {
         let (tries, oks) = (tries as f64, tries.saturating_sub(lost) as f64);
-        match self.batch_answers.back_mut().filter(|last| last.batch_began_at == at) {
+        match self.batch_answers.back_mut().filter(|last| last.batch_began_at == batch_began_at) {
             Some(last) => {
                 last.tries += tries;
                 last.oks += oks;
             }
-            None => self.batch_answers.push_back(BatchAnswers { batch_began_at: at, tries, oks }),
+            None => self.batch_answers.push_back(BatchAnswers { batch_began_at, tries, oks }),
         }
-        if self.batch_answers.len() > most {
+        if self.batch_answers.len() > max_batches {
             self.batch_answers.pop_front();
         }
     }
 
-    /// A probe was answered: what it missed before was chance, or is over.
+    /// A probe was answered: earlier misses were chance, or their cause is over.
     pub fn record_probe_answer(&mut self, now: Duration) {
         if self.unanswered_probes > 0 {
             self.recovered_misses.add(now, PROBE_MEMORY_HALF_LIFE, 1.0, Duration::ZERO);
         }
         self.probes_answered.add(now, PROBE_MEMORY_HALF_LIFE, 1.0, Duration::ZERO);
-        (self.unanswered_probes, self.unresponsive_since, self.probes_unreliable) = (0, None, false);
+        self.unanswered_probes = 0;
+        self.unresponsive_since = None;
+        self.probes_unreliable = false;
     }
 
-    /// The share of its probes that it missed of late though it was well.
+    /// The fraction of its probes that it missed of late although it was healthy.
     pub fn false_miss_rate(&self, now: Duration) -> f64 {
         let missed = self.recovered_misses.read(now, PROBE_MEMORY_HALF_LIFE);
         missed / (missed + self.probes_answered.read(now, PROBE_MEMORY_HALF_LIFE) + 1.0)
     }
 
-    /// It is sick from now on, and left alone until a time.
+    /// Makes it unhealthy from now on, until `until` at least.
     pub fn mark_unhealthy(&mut self, now: Duration, until: Duration) {
-        (self.unhealthy_until, self.marked_unhealthy_at) = (Some(until), now);
-        (self.tries_since_unhealthy, self.lost_since_unhealthy) = (0, 0);
+        self.unhealthy_until = Some(until);
+        self.marked_unhealthy_at = now;
+        self.tries_since_unhealthy = 0;
+        self.lost_since_unhealthy = 0;
     }
 
-    /// Whether what was told since it was called sick shows that it went on answering RPCs: at least `enough`, of
-    /// which less than `share` were lost.
-    pub fn served_while_unhealthy(&self, share: f64, enough: f64) -> bool {
+    /// Whether reports since it was marked unhealthy show that it went on answering RPCs: at least `min_tries`, of
+    /// which a fraction below `max_lost_fraction` was lost.
+    pub fn served_while_unhealthy(&self, max_lost_fraction: f64, min_tries: f64) -> bool {
         let (tries, lost) = (self.tries_since_unhealthy as f64, self.lost_since_unhealthy as f64);
-        tries >= enough && lost < share * tries
+        tries >= min_tries && lost < max_lost_fraction * tries
     }
 
-    /// Whether it has taken in RPCs since an ok answer was told of last, as reported lately: so many, and as many as it
-    /// held then.
-    pub fn accumulates_rpcs(&self, now: Duration, fresh: Duration, most: f64) -> bool {
-        let in_hand = self.in_flight.filter(|(_, at)| now < *at + fresh);
-        in_hand.is_some_and(|(in_hand, _)| {
-            in_hand - self.in_flight_at_last_ok > most.max(self.in_flight_at_last_ok)
+    /// Whether a load report not older than `max_age` shows that it has accepted RPCs since its last ok answer: more
+    /// than `min_rpcs`, and more than it held at that answer.
+    pub fn accumulates_rpcs(&self, now: Duration, max_age: Duration, min_rpcs: f64) -> bool {
+        let in_flight = self.in_flight.filter(|(_, at)| now < *at + max_age);
+        in_flight.is_some_and(|(in_flight, _)| {
+            in_flight - self.in_flight_at_last_ok > min_rpcs.max(self.in_flight_at_last_ok)
         })
     }
 
     /// Mean wait of an ok answer in seconds.
-    pub fn mean_wait(&self, now: Duration, half: Duration) -> Option<f64> {
-        let oks = self.ok_answers.read(now, half);
-        (oks >= 1.0).then(|| self.ok_wait_seconds.read(now, half) / oks)
+    pub fn mean_wait(&self, now: Duration, half_life: Duration) -> Option<f64> {
+        let oks = self.ok_answers.read(now, half_life);
+        (oks >= 1.0).then(|| self.ok_wait_seconds.read(now, half_life) / oks)
     }
 }
 
-/// What the measures say of one server against its peers.
+/// What the measures say of one server in comparison with its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Symptoms {
-    /// Tries of late, and the share of them that was lost there and at the others.
+    /// Tries of late.
     pub tries: f64,
+    /// The fraction of them that was lost.
     pub lost_fraction: f64,
+    /// The fraction of their tries that the other servers lost.
     pub others_lost_fraction: f64,
-    /// Since the last ok answer was told of.
+    /// Time since an ok answer was last reported.
     pub since_last_ok: Duration,
-    /// Mean wait of an ok answer in seconds, and whether that is late, or slow by the server's own measure.
+    /// Mean wait of an ok answer in seconds; 0 where there are none.
     pub mean_wait: f64,
+    /// The mean wait, or the wait in the reported queue, is too long against the soft deadlines.
     pub late: bool,
+    /// The mean wait is long against the server's baseline.
     pub slow: bool,
-    /// Ok answers come, and wait: lost tries and probes tell of too much load.
+    /// Ok answers come, but late, or its cores are busy: lost tries and missed probes are signs of load then.
     pub under_load: bool,
     /// It loses tries that others would not lose.
     pub failing: bool,
-    /// No ok answers, while others have them.
+    /// It has had no ok answers of late, while most other servers have.
     pub no_recent_answers: bool,
-    /// No ok answers, although some were due.
+    /// It has had no ok answers although some should have come.
     pub answers_overdue: bool,
 }
 
+/// A proxy that has been joined at least once.
 #[derive(Clone, Copy, Debug)]
 pub struct Proxy {
     pub zone: ZoneId,
+    /// Its stream stands.
     pub joined: bool,
     /// When it joined or left.
     pub state_since: Duration,
 }
 
-/// A handover under way: the owner's writes are stopped, and every proxy must be known to have stopped.
+/// A handover in progress: writes to the owner are stopped, and every proxy must be known to have stopped them before
+/// the next grant.
 #[derive(Clone, Debug, Default)]
 pub struct Handover {
+    /// The proxies whose acknowledgement the grant waits for, or has waited for.
     pub acks: BTreeMap<ProxyId, ProxyAck>,
-    /// No proxy that has answered sends writes to the old owner after this.
+    /// After this, no proxy that has acknowledged writes to the old owner, nor one that has never joined this assigner.
     pub acked_writes_end_at: Duration,
-    /// The mark in the message that stops writes; by when that has left the channel to every proxy, once an answer
-    /// has told that it was carried out.
+    /// The acknowledgement requested with the message that stops writes.
     pub stop_ack_seq: u64,
+    /// By when that message has left the channel to every proxy; known once an acknowledgement shows that it was sent.
     pub stop_sent_by: Option<Duration>,
-    /// The owner's line is taken away, so reads have stopped too.
+    /// The owner's line was revoked, so reads have stopped too.
     pub revoked: bool,
+    /// The server that is to own the slice; `None`: it is chosen with the grant.
     pub destination: Option<usize>,
-    /// When writes were stopped, and when the line was taken away; a slice that comes without one never had it.
+    /// When writes were stopped.
     pub started_at: Duration,
+    /// When the line was revoked; for a slice that was acquired without a line, when it was acquired.
     pub revoked_at: Option<Duration>,
-    /// The proxy that was waited for last, and what ended the wait.
+    /// The proxy whose wait ended last, and what ended it.
     pub last_wait_ended: Option<(ProxyId, WaitEnd)>,
 }
 
-/// What a handover awaits of one proxy.
+/// What a handover knows of one proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyAck {
     pub state: AckState,
-    /// When its write lease ends, where its stream broke before it answered. The lease is the first break's: a proxy
-    /// that comes back writes no longer by a table that it held before.
+    /// When its write lease ends, if its stream broke before it acknowledged. The lease counts from the first break: a
+    /// proxy that comes back no longer writes by a table that it held before.
     pub lease_ends_at: Option<Duration>,
 }
 
-/// A proxy's answer in a handover.
+/// Whether a proxy has acknowledged that it sends no more writes to the old owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AckState {
-    /// It has yet to be told of the handover.
+    /// It joined during the handover and has yet to be notified.
     NotNotified,
-    /// It must answer this mark.
+    /// It must acknowledge this sequence number or a later one.
     Pending(u64),
-    /// It is away.
+    /// Its stream is broken.
     Disconnected,
     Acknowledged,
 }
 
 impl Handover {
-    /// After when no proxy sends writes to the old owner; `None`: that is not known yet. A proxy that has not answered
-    /// lost its stream before the stop could arrive, or has applied it: its writes end a lease after that at the latest.
-    pub fn writes_end_at(&self, way_most: Duration, lease: Duration) -> Option<Duration> {
-        let latest = self.stop_sent_by.map(|sent| sent + way_most + lease);
-        let unheard = self.acks.values().filter(|awaited| awaited.state != AckState::Acknowledged);
-        let mut leases = unheard.map(|awaited| awaited.lease_ends_at);
-        let leases = leases.try_fold(Duration::ZERO, |end, lease| Some(end.max(lease?)));
-        // What is told late of a proxy makes it no later for any.
-        let heard = leases.map(|leases| leases.max(self.acked_writes_end_at));
-        heard.map_or(latest, |heard| Some(latest.map_or(heard, |latest| heard.min(latest))))
+    /// From when on no proxy sends writes to the old owner; `None`: that is not known yet. A proxy that has not
+    /// acknowledged lost its stream before the stop could arrive, or has applied it: its writes end a lease after that
+    /// at the latest.
+    pub fn writes_end_at(&self, max_transit: Duration, lease: Duration) -> Option<Duration> {
+        let latest = self.stop_sent_by.map(|sent_by| sent_by + max_transit + lease);
+        let unacknowledged = self.acks.values().filter(|ack| ack.state != AckState::Acknowledged);
+        let mut leases = unacknowledged.map(|ack| ack.lease_ends_at);
+        let leases_end = leases.try_fold(Duration::ZERO, |end, lease_end| Some(end.max(lease_end?)));
+        let known_end = leases_end.map(|end| end.max(self.acked_writes_end_at));
+        // The latest end holds for every proxy: what is learned late of one must not extend the wait beyond it.
+        match (known_end, latest) {
+            (Some(known_end), Some(latest)) => Some(known_end.min(latest)),
+            (Some(known_end), None) => Some(known_end),
+            (None, latest) => latest,
+        }
     }
 
-    /// Whether a proxy that is joined has yet to answer.
+    /// Whether a joined proxy has yet to acknowledge.
     pub fn awaits_acks(&self) -> bool {
-        self.acks
-            .values()
-            .any(|awaited| matches!(awaited.state, AckState::NotNotified | AckState::Pending(_)))
+        self.acks.values().any(|ack| matches!(ack.state, AckState::NotNotified | AckState::Pending(_)))
     }
 }
 
-/// What ended a handover's wait for a proxy's answer.
+/// What ended a handover's wait for a proxy, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitEnd {
     Acknowledged(Duration),
-    /// Its stream broke.
+    /// Its stream broke: from then on its write lease is waited for.
     Disconnected(Duration),
 }
 
-/// One that is not ours has neither owner nor handover.
+/// A slice. One that is not in this assigner's custody has neither owner nor handover.
 #[derive(Clone, Debug, Default)]
 pub struct Slice {
     pub in_custody: bool,
+    /// When custody of it was acquired.
     pub acquired_at: Duration,
+    /// The index of the server that owns it.
     pub owner: Option<usize>,
     pub handover: Option<Handover>,
+    /// From when on a plan may move it.
     pub movable_from: Duration,
-    /// Work that came, by method's soft deadline.
+    /// Work that came for it; an RPC's work is taken to be in proportion to its method's soft deadline.
     pub demand: DecayingSum,
-    /// The shares that proxies were told, by method.
+    /// The levels that proxies were sent, by method.
     pub published_levels: Vec<f64>,
-    /// All its methods are shut out, as its owner is suspected.
+    /// All its RPCs are rejected, or all but a few, because its owner is suspected.
     pub rejects_all: bool,
 }
 
 impl Slice {
-    /// The share of its RPCs that proxies were told to let in, by the method that is let in most.
+    /// The fraction of its RPCs that proxies were told to admit, by the method that is admitted most.
     pub fn admitted_fraction(&self) -> f64 {
         self.published_levels.iter().copied().fold(0.0, f64::max).min(1.0)
     }
 }
 
-/// What the plan works on: every server's load, room and cost, and each slice's demand.
+/// Estimates that plans and destinations are based on. Vectors are by server, but for `demand`. Loads are fractions
+/// of a server's present capacity.
 #[derive(Debug, Default)]
 pub struct LoadSnapshot {
     pub loads: Vec<f64>,
-    /// The part of the loads that our slices make.
+    /// The part of the loads that the slices in custody make.
     pub own_loads: Vec<f64>,
+    /// Load that may be added.
     pub headroom: Vec<f64>,
-    /// Load that our slices may bring each server while it is cold.
+    /// Load that the slices in custody may bring while the server is cold.
     pub cold_budgets: Vec<f64>,
     /// Load that a unit of demand adds.
     pub load_per_demand: Vec<f64>,
+    /// Each slice's demand: work a second.
     pub demand: Vec<f64>,
     /// Work a second that each server can do.
     pub limits: Vec<f64>,
-    /// The demand for which an idle slice counts on a cold server.
+    /// The demand that an idle slice counts for on a cold server.
     pub idle_slice_demand: f64,
+    /// The mean load of the ready servers.
     pub average_load: f64,
 }
 
 impl LoadSnapshot {
-    /// A slice that brings so much is to go there.
-    pub fn reserve(&mut self, to: usize, add: f64) {
-        self.loads[to] += add;
-        self.own_loads[to] += add;
-        self.headroom[to] -= add;
+    /// Accounts for a slice that is to go to `server` and brings this much load.
+    pub fn reserve(&mut self, server: usize, load: f64) {
+        self.loads[server] += load;
+        self.own_loads[server] += load;
+        self.headroom[server] -= load;
     }
 }
 
-/// A slice and the server it goes to.
+/// A slice and the server that it goes to.
 pub type Move = (SliceId, usize);
 
-/// ListSubscription the list of servers.
+/// The state of the subscription to the list of servers.
 #[derive(Debug, Default)]
 pub struct ListSubscription {
-    /// When to ask for it again.
+    /// When to request the list again.
     pub request_at: Option<Duration>,
-    /// How often that has failed in a row.
+    /// Consecutive failures.
     pub failures: u32,
 }
 
-/// A plan under way: batches to come, and the one that runs.
+/// A plan in progress, and the conditions for the next one.
 #[derive(Debug, Default)]
 pub struct Plan {
-    /// Rounds in a row that have seen skew.
+    /// Consecutive planning rounds that have seen skew.
     pub skewed_rounds: u32,
-    /// Rounds in a row in which proxies were away.
+    /// Consecutive planning rounds in which proxies were away.
     pub postponed_rounds: u32,
+    /// Batches of moves that have yet to start.
     pub pending_batches: VecDeque<Vec<Move>>,
+    /// The slices that the batch in progress moves.
     pub running_batch: Vec<SliceId>,
-    /// Where operators want slices, until the next plan.
+    /// Moves that operators request, until the next plan.
     pub requested_moves: BTreeMap<SliceId, usize>,
 }
 
-/// What the channel is thought to hold.
+/// The estimated state of the channel to the proxies, which sends a limited number of lines a second.
 #[derive(Debug, Default)]
 pub struct Channel {
-    /// Marks set so far, and whether this reply needs one.
+    /// The sequence number of the last acknowledgement that was requested.
     pub last_ack_seq: u64,
+    /// This reply is to request an acknowledgement.
     pub ack_wanted: bool,
-    /// The mark of the last levels that only tune, until it is answered.
+    /// The acknowledgement of the last levels that were only tuned, while it is pending.
     pub tuning_ack_seq: Option<u64>,
-    /// Lines that wait, as reckoned at a time.
+    /// Lines that are estimated to be queued at `updated_at`.
     pub queued_lines: f64,
-    /// Lines of the replies that may not have left yet, by the marks set until then, and when they were sent.
+    /// The messages that may not have left the channel, oldest first: the last sequence number issued up to and with
+    /// the message, its lines, and when it was sent.
     pub queued_messages: VecDeque<(u64, f64, Duration)>,
-    /// The last mark that any proxy has answered, and whether the next one's answer is overdue.
+    /// The last sequence number that any proxy has acknowledged.
     pub last_acked_seq: u64,
+    /// The next acknowledgement is overdue.
     pub ack_overdue: bool,
-    /// Lines at a proxy that orders still to be written in this reply will need.
+    /// Orders that will be added to this reply later, and count as queued already.
     pub reserved_orders: usize,
+    /// When `queued_lines` was estimated.
     pub updated_at: Duration,
     /// When messages were sent lately.
     pub message_times: Vec<Duration>,
-    /// The last marks and when each was set, oldest first.
+    /// The last sequence numbers and when each was requested, oldest first.
     pub ack_request_times: VecDeque<(u64, Duration)>,
+    /// When the assigner next asks to be woken.
     pub wake_at: Duration,
 }
 
-/// Marks whose times are remembered: far more than can wait for their answers at a time.
+/// Requested acknowledgements whose times are remembered: far more than can be pending at a time.
 const MAX_ACK_REQUEST_TIMES: usize = 1024;
 
 impl Channel {
-    /// Sets the next mark.
+    /// Issues the next sequence number.
     pub fn issue_ack_request(&mut self, now: Duration) {
         self.last_ack_seq += 1;
         self.ack_request_times.push_back((self.last_ack_seq, now));
@@ -437,32 +500,34 @@
         }
     }
 
-    /// When the last mark was set.
+    /// When an acknowledgement was last requested.
     pub fn last_ack_request_at(&self) -> Duration {
         self.ack_request_times.back().map_or(Duration::ZERO, |(_, at)| *at)
     }
 
-    /// When a mark's message took effect at a proxy that answers now, by the time that it took.
-    pub fn took_effect_at(&self, mark: u64, way: Duration, now: Duration) -> Duration {
-        let set = self.ack_request_times.iter().rev().find(|(set, _)| *set == mark);
-        set.map_or(now, |(_, at)| now.min(*at + way))
+    /// When a message took effect at a proxy that acknowledges it now, given its transit time.
+    pub fn took_effect_at(&self, ack_seq: u64, transit: Duration, now: Duration) -> Duration {
+        let request = self.ack_request_times.iter().rev().find(|(requested, _)| *requested == ack_seq);
+        request.map_or(now, |(_, at)| now.min(*at + transit))
     }
 
-    /// Lines that no answer has told to have left.
+    /// Lines that no acknowledgement shows to have left the channel.
     pub fn unacked_lines(&self) -> f64 {
         self.queued_messages.iter().map(|(_, lines, _)| lines).sum()
     }
 
-    /// Once nothing is reckoned to wait, what was sent before the first unanswered mark has left.
+    /// Forgets the messages that have left: once no line is estimated to be queued, those that were sent before the
+    /// first pending acknowledgement was requested.
     pub fn forget_transmitted_messages(&mut self) {
         if self.queued_lines <= 0.0 {
-            let answered = self.last_acked_seq;
-            self.queued_messages.retain(|(mark, ..)| *mark > answered);
+            let acked = self.last_acked_seq;
+            self.queued_messages.retain(|(ack_seq, ..)| *ack_seq > acked);
         }
     }
 
-    /// When the first mark was sent that no proxy has answered.
+    /// When the first acknowledgement was requested that no proxy has given yet.
     pub fn first_unacked_sent_at(&self) -> Option<Duration> {
-        self.queued_messages.iter().find(|(mark, ..)| *mark > self.last_acked_seq).map(|(_, _, at)| *at)
+        let is_unacked = |ack_seq: u64| ack_seq > self.last_acked_seq;
+        self.queued_messages.iter().find(|(ack_seq, ..)| is_unacked(*ack_seq)).map(|(_, _, at)| *at)
     }
 }
