--- a/crates/whinhill/src/assigner/channel.rs
+++ b/crates/whinhill/src/assigner/channel.rs
@@ -1,51 +1,58 @@
-//! What waits in the channel to the proxies, and the end of each reply.
+//! An estimate of what is queued in the channel to the proxies, and the end of each reply.
 
 use super::*;
 
 impl Assigner {
-    /// Whether the channel holds less than a part of what may wait in it.
-    pub(super) fn channel_is_below(&self, part: f64) -> bool {
+    /// Whether the channel, with what this reply will add, is filled below a fraction of its backlog, and below the
+    /// same fraction of the messages that it may send in a window of time.
+    pub(super) fn channel_is_below(&self, fill: f64) -> bool {
         let lines = self.channel.queued_lines + self.message_lines(self.channel.reserved_orders);
-        let (sent, most) = (self.channel.message_times.len() as f64, self.cfg.max_messages as f64);
-        lines < part * self.cfg.max_backlog_lines && (most == 0.0 || sent < part * most - 1.0)
+        let messages = self.channel.message_times.len() as f64;
+        let max_messages = self.cfg.max_messages as f64;
+        lines < fill * self.cfg.max_backlog_lines
+            && (max_messages == 0.0 || messages < fill * max_messages - 1.0)
     }
 
-    /// Lines that the channel carries for a message to every proxy with what is written so far, and more.
-    pub(super) fn message_lines(&self, more: usize) -> f64 {
-        let orders = self.output.iter().filter(|order| order.costs_a_line()).count() + more;
+    /// Lines that the channel carries for a message to every proxy with the orders of this reply so far, and more.
+    pub(super) fn message_lines(&self, more_orders: usize) -> f64 {
+        let orders = self.output.iter().filter(|order| order.costs_a_line()).count() + more_orders;
         (orders as f64 + self.cfg.message_overhead_lines) * self.joined_proxies() as f64
     }
 
-    /// How long so many lines take to leave at the slowest pace that is reckoned with.
+    /// The time that so many lines take to leave the channel at the slowest pace that is taken to be possible.
     pub(super) fn max_send_time(&self, lines: f64) -> Duration {
-        Duration::from_secs_f64(
-            lines * CHANNEL_SLOWDOWN_FACTOR * CHANNEL_SLOWDOWN_FACTOR / self.cfg.lines_per_s,
-        )
+        let slowed_lines = lines * CHANNEL_SLOWDOWN_FACTOR * CHANNEL_SLOWDOWN_FACTOR;
+        Duration::from_secs_f64(slowed_lines / self.cfg.lines_per_s)
     }
 
+    /// The number of proxies whose streams stand.
     pub(super) fn joined_proxies(&self) -> usize {
-        self.proxies.values().filter(|p| p.joined).count()
+        self.proxies.values().filter(|proxy| proxy.joined).count()
     }
 
-    /// Counts what goes out, and asks to be woken at the next time that matters.
+    /// Requests an acknowledgement where one is wanted, updates the estimate of the channel, requests the next wake-up,
+    /// and returns the orders.
     pub(super) fn finish_reply(&mut self) -> Vec<Order> {
         let now = self.now;
-        // The answer tells early that a channel thought to be filled has emptied.
-        let filled = self.output.iter().any(Order::costs_a_line) && !self.channel_is_below(PLAN_START_FILL);
-        if std::mem::take(&mut self.channel.ack_wanted) || filled {
+        // The acknowledgement shows early that a channel estimated to be filled has emptied.
+        let is_filled =
+            self.output.iter().any(Order::costs_a_line) && !self.channel_is_below(PLAN_START_FILL);
+        if std::mem::take(&mut self.channel.ack_wanted) || is_filled {
             self.channel.issue_ack_request(now);
             self.output.push(Order::Mark { mark: (self.channel.last_ack_seq & 0xffff) as u16 });
         }
-        // An overdue answer tells that more waits than was reckoned: all that is not answered, at most.
-        let overdue =
-            self.channel.first_unacked_sent_at().is_some_and(|sent| now > sent + self.cfg.max_transit);
-        if !std::mem::replace(&mut self.channel.ack_overdue, overdue) && overdue {
+        // An overdue acknowledgement shows that more is queued than was estimated: at most all that is unacknowledged.
+        let is_overdue =
+            self.channel.first_unacked_sent_at().is_some_and(|sent_at| now > sent_at + self.cfg.max_transit);
+        let was_overdue = std::mem::replace(&mut self.channel.ack_overdue, is_overdue);
+        if !was_overdue && is_overdue {
             self.channel.queued_lines = self.channel.queued_lines.max(self.channel.unacked_lines());
         }
-        let slow = CHANNEL_SLOWDOWN_FACTOR * if overdue { CHANNEL_SLOWDOWN_FACTOR } else { 1.0 };
-        let sent = now.saturating_sub(self.channel.updated_at).as_secs_f64() * self.cfg.lines_per_s / slow;
-        (self.channel.queued_lines, self.channel.updated_at) =
-            ((self.channel.queued_lines - sent).max(0.0), now);
+        let slowdown = CHANNEL_SLOWDOWN_FACTOR * if is_overdue { CHANNEL_SLOWDOWN_FACTOR } else { 1.0 };
+        let elapsed = now.saturating_sub(self.channel.updated_at);
+        let sent_lines = elapsed.as_secs_f64() * self.cfg.lines_per_s / slowdown;
+        self.channel.queued_lines = (self.channel.queued_lines - sent_lines).max(0.0);
+        self.channel.updated_at = now;
         self.channel.forget_transmitted_messages();
         self.channel.message_times.retain(|at| now <= *at + self.cfg.message_window);
         if self.output.iter().any(Order::costs_a_line) {
