--- a/crates/whinhill/src/assigner/introspection.rs
+++ b/crates/whinhill/src/assigner/introspection.rs
@@ -1,17 +1,18 @@
-//! What stands, for whoever asks: tools, logs, and whoever keeps names for indices. No decisions.
+//! Queries of the current state, for tools, logs and whoever maps names to indices, and the texts of log orders. There
+//! are no decisions here.
 
 use super::*;
 
 /// A handover that took longer is logged with its grant.
 const MIN_LOGGED_HANDOVER_TIME: Duration = Duration::from_secs(1);
-/// Proxies that a summary names at most.
+/// The largest number of proxies that a summary names.
 const MAX_SUMMARY_PROXIES: usize = 5;
 
-/// Slices that leave, by their owner and where they go.
+/// Slices that leave their owners, by their owner and their destination, if that was chosen.
 pub(super) type Departures = BTreeMap<(usize, Option<usize>), Vec<SliceId>>;
 
 impl Assigner {
-    /// How a server stands, for whoever asks.
+    /// A server's health; `Gone` for an unknown index.
     pub fn health(&self, server: usize) -> Health {
         match self.servers.get(server) {
             Some(s) if s.listed_status == Listed::Draining => Health::Draining,
@@ -22,128 +23,128 @@
         }
     }
 
-    /// Whether a handover of the slice is under way.
+    /// Whether a handover of the slice is in progress.
     pub fn moving(&self, slice: SliceId) -> bool {
         self.slices.get(slice).is_some_and(|s| s.handover.is_some())
     }
 
-    /// The handovers under way, and what has ended.
+    /// The handovers in progress, and totals of those that have ended.
     pub fn handovers(&self) -> HandoverSummary {
-        let mut under_way: Vec<&Handover> = self.slices.iter().filter_map(|s| s.handover.as_ref()).collect();
-        under_way.sort_by_key(|handover| handover.started_at);
+        let mut in_progress: Vec<&Handover> =
+            self.slices.iter().filter_map(|s| s.handover.as_ref()).collect();
+        in_progress.sort_by_key(|handover| handover.started_at);
         let mut awaited = Vec::new();
-        for (proxy, one) in under_way.iter().flat_map(|handover| &handover.acks) {
-            if one.state != AckState::Acknowledged
-                && !awaited.contains(proxy)
-                && awaited.len() < MAX_SUMMARY_PROXIES
-            {
+        for (proxy, ack) in in_progress.iter().flat_map(|handover| &handover.acks) {
+            let is_pending = ack.state != AckState::Acknowledged;
+            if is_pending && !awaited.contains(proxy) && awaited.len() < MAX_SUMMARY_PROXIES {
                 awaited.push(*proxy);
             }
         }
-        let cut: Vec<Duration> = under_way.iter().filter_map(|handover| handover.revoked_at).collect();
+        let revoked: Vec<Duration> = in_progress.iter().filter_map(|handover| handover.revoked_at).collect();
+        let first_revoked = revoked.iter().min();
         HandoverSummary {
-            under_way: under_way.len(),
-            without_line: cut.len(),
-            without_line_for: cut.iter().min().map_or(Duration::ZERO, |at| self.now.saturating_sub(*at)),
+            under_way: in_progress.len(),
+            without_line: revoked.len(),
+            without_line_for: first_revoked.map_or(Duration::ZERO, |at| self.now.saturating_sub(*at)),
             awaited,
             granted: self.grant_count,
             longest: self.longest_handover,
         }
     }
 
-    /// Counts a handover that ends with a grant, and logs one that took long: what was waited for last.
+    /// Counts a handover that ends with a grant, and logs one that took long, with what it waited for last.
     pub(super) fn record_grant(&mut self, slice: SliceId, to: usize) {
         let Some(handover) = &self.slices[slice].handover else { return };
-        let (now, began) = (self.now, handover.started_at);
-        let took = now.saturating_sub(began);
+        let (now, started_at) = (self.now, handover.started_at);
+        let took = now.saturating_sub(started_at);
         self.grant_count += 1;
         self.longest_handover = self.longest_handover.max(took);
         if took <= MIN_LOGGED_HANDOVER_TIME {
             return;
         }
-        let last = match handover.last_wait_ended {
+        let last_wait = match handover.last_wait_ended {
             Some((proxy, WaitEnd::Acknowledged(at))) => {
-                format!("proxy {proxy} answered last, after {:.1?}", at.saturating_sub(began))
+                format!("proxy {proxy} acknowledged last, after {:.1?}", at.saturating_sub(started_at))
             }
             Some((proxy, WaitEnd::Disconnected(at))) => {
-                format!("proxy {proxy} left, after {:.1?}", at.saturating_sub(began))
+                format!("proxy {proxy} disconnected last, after {:.1?}", at.saturating_sub(started_at))
             }
-            None => "no answer was awaited".to_string(),
+            None => "no proxy was waited for".to_string(),
         };
-        let unheard = handover.acks.values().filter(|one| one.state != AckState::Acknowledged).count();
+        let pending = handover.acks.values().filter(|ack| ack.state != AckState::Acknowledged).count();
         let without_line = handover.revoked_at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let from = self.slices[slice].owner.map_or("none".to_string(), |owner| owner.to_string());
+        let from = self.slices[slice].owner.map_or("no owner".to_string(), |owner| format!("server {owner}"));
         let text = format!(
-            "slice {slice} granted from {from} to {to} after {took:.1?}, {without_line:.1?} without a line: {last}; {unheard} unheard"
+            "slice {slice} handed over from {from} to server {to} in {took:.1?}, {without_line:.1?} of it without a line: {last_wait}; {pending} proxies have not acknowledged"
         );
         self.output.push(Order::Log { text });
     }
 
-    /// What is believed of each server's load, for whoever asks: a part of its capacity.
+    /// The estimated load of each server, as a fraction of its present capacity.
     pub fn loads(&self) -> Vec<f64> {
         self.load_snapshot().loads
     }
 
-    /// Lines thought to wait in the channel.
+    /// Lines that are estimated to be queued in the channel to the proxies.
     pub fn channel_lines(&self) -> f64 {
         self.channel.queued_lines
     }
 
-    /// The owner of a slice of ours.
+    /// The index of the server that owns a slice in custody.
     pub fn owner(&self, slice: SliceId) -> Option<usize> {
         self.slices.get(slice).and_then(|s| s.owner)
     }
 
-    /// Whether nothing here names a server any more, so that its index may be given to another.
+    /// Whether nothing refers to a server any more, so that its index may be reused for another one.
     pub fn is_done_with(&self, server: usize) -> bool {
-        let named = |s: &Slice| {
+        let is_named = |s: &Slice| {
             s.owner == Some(server) || s.handover.as_ref().is_some_and(|h| h.destination == Some(server))
         };
-        let planned = self.plan.pending_batches.iter().flatten().any(|m| m.1 == server);
-        let wished = self.plan.requested_moves.values().any(|to| *to == server);
-        self.health(server) == Health::Gone && !planned && !wished && !self.slices.iter().any(named)
+        let is_planned = self.plan.pending_batches.iter().flatten().any(|m| m.1 == server);
+        let is_requested = self.plan.requested_moves.values().any(|to| *to == server);
+        self.health(server) == Health::Gone
+            && !is_planned
+            && !is_requested
+            && !self.slices.iter().any(is_named)
     }
 
-    /// Logs which slices have left their owners, why, and how full the servers are to which they go.
-    pub(super) fn log_departures(&mut self, departures: &Departures, view: Option<&LoadSnapshot>) {
-        let Some(view) = view else { return };
+    /// Logs which slices leave their owners, why, and how loaded their destinations are.
+    pub(super) fn log_departures(&mut self, departures: &Departures, snapshot: Option<&LoadSnapshot>) {
+        let Some(snapshot) = snapshot else { return };
         for ((from, to), slices) in departures {
             let reason = match self.health(*from) {
                 Health::Draining => "draining",
                 Health::Gone => "gone",
-                Health::Sick => "sick",
+                Health::Sick => "unhealthy",
                 Health::Cold | Health::Ready => "over its cold budget",
             };
-            let to = to.map_or("no server has room".to_string(), |to| self.describe_load(to, view));
-            self.output.push(Order::Log { text: format!("slices {slices:?} leave {from}, {reason}: {to}") });
+            let destination =
+                to.map_or("no server has headroom".to_string(), |to| self.describe_destination(to, snapshot));
+            let text = format!("slices {slices:?} leave server {from} ({reason}): {destination}");
+            self.output.push(Order::Log { text });
         }
     }
 
-    /// Logs where a slice goes whose destination was chosen with its grant.
-    pub(super) fn log_late_choice(&mut self, slice: SliceId, to: usize, view: &LoadSnapshot) {
-        let text =
-            format!("slice {slice} is granted for want of room elsewhere: {}", self.describe_load(to, view));
+    /// Logs the destination of a slice that was chosen with the grant.
+    pub(super) fn log_late_choice(&mut self, slice: SliceId, to: usize, snapshot: &LoadSnapshot) {
+        let destination = self.describe_destination(to, snapshot);
+        let text = format!("slice {slice} gets its destination with the grant: {destination}");
         self.output.push(Order::Log { text });
     }
 
-    fn describe_load(&self, server: usize, view: &LoadSnapshot) -> String {
-        let (load, room) = (view.loads[server].max(view.own_loads[server]), view.headroom[server]);
-        format!("to {server}, load {load:.2}, room {room:.2}")
+    fn describe_destination(&self, server: usize, snapshot: &LoadSnapshot) -> String {
+        let load = snapshot.loads[server].max(snapshot.own_loads[server]);
+        let headroom = snapshot.headroom[server];
+        format!("to server {server}, load {load:.2}, headroom {headroom:.2}")
     }
 
-    /// Logs why a server is called sick.
+    /// Logs why a server is marked unhealthy.
     pub(super) fn log_unhealthy(&mut self, server: usize, symptoms: &Symptoms) {
-        let Symptoms {
-            tries,
-            lost_fraction: share,
-            others_lost_fraction: others,
-            since_last_ok: silence,
-            ..
-        } = symptoms;
-        let losses = format!("lost {share:.2} of {tries:.0}, others {others:.2}");
-        let probes = self.servers[server].unanswered_probes;
-        let text =
-            format!("server {server} sick: {losses}, no ok for {silence:.1?}, probes unanswered {probes}");
+        let Symptoms { tries, lost_fraction, others_lost_fraction, since_last_ok, .. } = symptoms;
+        let unanswered_probes = self.servers[server].unanswered_probes;
+        let text = format!(
+            "server {server} sick: lost fraction {lost_fraction:.2} of {tries:.0} tries, others {others_lost_fraction:.2}, no ok answer for {since_last_ok:.1?}, {unanswered_probes} probes unanswered"
+        );
         self.output.push(Order::Log { text });
     }
 }
--- a/crates/whinhill/src/assigner/resend.rs
+++ b/crates/whinhill/src/assigner/resend.rs
@@ -1,14 +1,14 @@
-//! Calls that are sent again, since nobody knows whether they were carried out: then the channel may hold both.
+//! Calls that are sent again because it is unknown whether they were carried out: the channel may hold both.
 
 use super::*;
 
 impl Assigner {
-    /// Whether so many orders fit the channel once more.
+    /// Whether the channel has room for so many orders to be sent once more.
     pub fn may_send_again(&self, orders: usize) -> bool {
         self.channel.queued_lines + self.message_lines(orders) < DRAIN_STOP_FILL * self.cfg.max_backlog_lines
     }
 
-    /// So many orders were sent again.
+    /// Counts so many orders that were sent once more as queued in the channel.
     pub fn sent_again(&mut self, now: Duration, orders: usize) {
         let lines = self.message_lines(orders);
         self.channel.queued_lines += lines;
--- a/crates/whinhill/src/assigner/suspicion.rs
+++ b/crates/whinhill/src/assigner/suspicion.rs
@@ -1,12 +1,12 @@
-//! Probes, and which servers are suspected by them.
+//! The failure detector that works by probes: which servers are suspected.
 //!
-//! A server that misses probes is suspected as soon as that is unlikely of a server that is well: levels shut it out
-//! and it is asked again, until it answers or another miss makes it sick (`health`). How many misses it takes follows
-//! from how often probes have been missed of late by servers that turned out well.
+//! A server that misses probes is suspected as soon as that is unlikely of a healthy server: levels reject its slices'
+//! RPCs, and it is probed again, until it answers or another miss makes it unhealthy (`health.rs`). How many misses
+//! that takes follows from how often healthy servers have missed probes of late.
 
 use super::*;
 
-/// How the probes of a zone's ready servers stand.
+/// Healthy ready servers of a zone, counted by whether they have missed their last probe.
 #[derive(Clone, Copy, Default)]
 struct ZoneProbes {
     missed: usize,
@@ -14,9 +14,9 @@
 }
 
 impl Assigner {
-    /// Probes every ready server, several times a period; whether it was time to.
-    pub(super) fn order_probes(&mut self, period: bool) -> bool {
-        if !self.cfg.may_probe || !period && self.now < self.next_probes_at {
+    /// Orders probes of every ready server if it is time to, several times a period; returns whether it was.
+    pub(super) fn order_probes(&mut self, is_period: bool) -> bool {
+        if !self.cfg.may_probe || !is_period && self.now < self.next_probes_at {
             return false;
         }
         self.next_probes_at = self.now + self.cfg.period / self.probe_rounds();
@@ -27,27 +27,28 @@
         true
     }
 
-    /// Rounds of probes in a period: fewer where they would come to too large a part of the RPCs.
+    /// Rounds of probes in a period: fewer where probes would be too many in comparison with RPCs.
     fn probe_rounds(&self) -> u32 {
-        let rpcs = self.method_rpcs.iter().map(|came| came.rate(self.now, self.half_life)).sum::<f64>();
-        let all_rpcs = rpcs / self.custody_fraction().max(1e-3);
+        let our_rate = self.method_rpcs.iter().map(|rpcs| rpcs.rate(self.now, self.half_life)).sum::<f64>();
+        let total_rate = our_rate / self.custody_fraction().max(1e-3);
         let ready = self.servers.iter().filter(|s| s.listed_status == Listed::Ready).count();
-        let round = (ready * self.cfg.total_assigners) as f64 / self.cfg.period.as_secs_f64();
-        let paid = (MAX_PROBES_PER_RPC * all_rpcs / round.max(1e-9)) as u32;
-        if rpcs > 0.0 {
-            paid.clamp(1, MAX_PROBE_ROUNDS)
+        let round_rate = (ready * self.cfg.total_assigners) as f64 / self.cfg.period.as_secs_f64();
+        let affordable = (MAX_PROBES_PER_RPC * total_rate / round_rate.max(1e-9)) as u32;
+        if our_rate > 0.0 {
+            affordable.clamp(1, MAX_PROBE_ROUNDS)
         } else {
             MAX_PROBE_ROUNDS
         }
     }
 
-    /// Takes a probe's result; a server that does not answer is asked again at once.
+    /// Takes the result of a probe; a server that does not answer is probed again at once.
     pub(super) fn apply_probe_result(&mut self, ep: Ep, result: Probe) {
-        let (now, probes, period) = (self.now, self.cfg.may_probe, self.cfg.period);
-        let first_miss = result == Probe::Unanswered && self.server_mut(ep).unresponsive_since.is_none();
-        let rate = if first_miss { self.admitted_rates()[ep.index] } else { 0.0 };
+        let (now, may_probe, period) = (self.now, self.cfg.may_probe, self.cfg.period);
+        let is_first_miss = result == Probe::Unanswered && self.server_mut(ep).unresponsive_since.is_none();
+        let admitted_rate = if is_first_miss { self.admitted_rates()[ep.index] } else { 0.0 };
         let server = self.server_mut(ep);
-        let ordered = server.probe_ordered_at.take().map_or(now, |at| at.max(now.saturating_sub(period)));
+        let earliest = now.saturating_sub(period);
+        let ordered_at = server.probe_ordered_at.take().map_or(now, |at| at.max(earliest));
         match result {
             Probe::Ok | Probe::Aborted | Probe::PushedBack => {
                 server.record_probe_answer(now);
@@ -55,62 +56,63 @@
             }
             Probe::Unanswered => {
                 server.unanswered_probes += 1;
-                if first_miss {
-                    (server.unresponsive_since, server.admitted_rate_at_miss) = (Some(ordered), rate);
+                if is_first_miss {
+                    server.unresponsive_since = Some(ordered_at);
+                    server.admitted_rate_at_miss = admitted_rate;
                 }
                 server.probe_ordered_at = Some(now);
-                let again = probes
+                let probes_again = may_probe
                     && server.unanswered_probes < DEAD_AFTER_MISSES
                     && server.listed_status == Listed::Ready;
-                self.output.extend(again.then_some(Order::Probe { ep }));
+                self.output.extend(probes_again.then_some(Order::Probe { ep }));
             }
         }
     }
 
-    /// Draws from all probes so far which servers are suspected.
+    /// Updates which servers are suspected, by all probes so far.
     pub(super) fn update_suspicions(&mut self) {
         if !self.cfg.may_probe {
             return;
         }
         let zones = self.probes_by_zone();
         let missed: usize = zones.values().map(|zone| zone.missed).sum();
-        let ready: usize = missed + zones.values().map(|zone| zone.answered).sum::<usize>();
-        let chance = MAX_FALSE_ALARMS_PER_ROUND / ready.max(1) as f64;
-        let needed = misses_needed(self.fleet_false_miss_rate(), chance);
-        let few = missed as f64 <= MAX_SUSPECTED_FRACTION * ready as f64;
-        // A path that is cut silences whole zones and leaves others as they were.
+        let probed: usize = missed + zones.values().map(|zone| zone.answered).sum::<usize>();
+        let max_chance = MAX_FALSE_ALARMS_PER_ROUND / probed.max(1) as f64;
+        let fleet_misses_needed = misses_needed(self.fleet_false_miss_rate(), max_chance);
+        let is_minority = missed as f64 <= MAX_SUSPECTED_FRACTION * probed as f64;
+        // A broken path makes whole zones unresponsive and leaves other zones as they were.
         let some_zone_answers =
             zones.values().any(|zone| zone.answered > 0 && zone.missed * 2 <= zone.answered);
-        let alive: Vec<bool> = self
-            .servers
-            .iter()
-            .map(|s| self.evidence(s).is_some_and(|evidence| evidence.is_alive()))
-            .collect();
-        for (server, alive) in self.servers.iter_mut().zip(alive) {
-            server.probes_unreliable |= alive;
-            server.misses_to_suspect = needed.max(misses_needed(server.false_miss_rate(self.now), chance));
+        let has_evidence_of_life = |s: &Server| self.evidence(s).is_some_and(|evidence| evidence.is_alive());
+        let alive: Vec<bool> = self.servers.iter().map(has_evidence_of_life).collect();
+        for (server, is_alive) in self.servers.iter_mut().zip(alive) {
+            server.probes_unreliable |= is_alive;
+            let misses_needed = misses_needed(server.false_miss_rate(self.now), max_chance);
+            server.misses_to_suspect = fleet_misses_needed.max(misses_needed);
             let zone = zones.get(&server.zone).copied().unwrap_or_default();
-            let believed = few || some_zone_answers && zone.answered == 0;
-            let misses =
+            let are_misses_accepted = is_minority || some_zone_answers && zone.answered == 0;
+            let has_missed =
                 server.listed_status != Listed::Gone && server.unanswered_probes >= server.misses_to_suspect;
             server.zone_unresponsive = zone.answered == 0;
-            server.suspected = misses && believed && !server.under_load && !server.probes_unreliable;
+            server.suspected =
+                has_missed && are_misses_accepted && !server.under_load && !server.probes_unreliable;
             server.suspected_since = server.suspected.then(|| server.suspected_since.unwrap_or(self.now));
         }
     }
 
-    /// The share of probes that servers missed of late that turned out well.
+    /// The fraction of their probes that servers missed of late although they were healthy.
     fn fleet_false_miss_rate(&self) -> f64 {
         let sum = |f: fn(&Server) -> &DecayingSum| -> f64 {
             self.servers.iter().map(|server| f(server).read(self.now, PROBE_MEMORY_HALF_LIFE)).sum()
         };
-        let (missed, answered) = (sum(|s| &s.recovered_misses), sum(|s| &s.probes_answered));
+        let missed = sum(|s| &s.recovered_misses);
+        let answered = sum(|s| &s.probes_answered);
         missed / (missed + answered + 1.0)
     }
 
     fn probes_by_zone(&self) -> BTreeMap<ZoneId, ZoneProbes> {
         let mut zones: BTreeMap<ZoneId, ZoneProbes> = BTreeMap::new();
-        // What is known to be silent, or not to answer probes, says nothing of a path.
+        // Servers that are known to be unhealthy, or not to answer probes, are no evidence about a path.
         for server in self.ready_servers().filter(|server| usable(server) && !server.probes_unreliable) {
             let zone = zones.entry(server.zone).or_default();
             if server.unanswered_probes > 0 {
@@ -122,28 +124,29 @@
         zones
     }
 
-    /// Zones whose servers say nothing of themselves: what is broken is the path to them.
+    /// Zones whose servers' silence says nothing about the servers, since the path to them is broken or may be.
     pub(super) fn unreachable_zones(&self) -> BTreeSet<ZoneId> {
         let zones: BTreeSet<ZoneId> = self.servers.iter().map(|s| s.zone).collect();
-        zones
-            .into_iter()
-            .filter(|zone| self.is_zone_disconnected(*zone) || self.just_became_unresponsive(*zone))
-            .collect()
+        let is_unreachable =
+            |zone: &ZoneId| self.is_zone_disconnected(*zone) || self.just_became_unresponsive(*zone);
+        zones.into_iter().filter(is_unreachable).collect()
     }
 
-    /// Whether all servers of a zone have just stopped answering probes: its proxies' streams may be about to
-    /// break too, which tells a path from servers. Harm: a zone that dies is left so much later, shut out meanwhile.
+    /// Whether all servers of a zone have just stopped answering probes. The streams of its proxies may be about to
+    /// break too, which would show that the path is broken and not the servers. If the zone itself has failed, its
+    /// slices leave so much later, and their RPCs are rejected meanwhile.
     fn just_became_unresponsive(&self, zone: ZoneId) -> bool {
-        let mut there = self.ready_servers().filter(|s| s.zone == zone && usable(s)).peekable();
-        let just =
+        let mut servers = self.ready_servers().filter(|s| s.zone == zone && usable(s)).peekable();
+        let has_just_stopped =
             |s: &Server| s.unresponsive_since.is_some_and(|since| self.now < since + ZONE_CONFIRMATION_TIME);
-        let others = self.ready_servers().any(|s| s.zone != zone);
-        others && there.peek().is_some() && there.all(just)
+        let has_other_zones = self.ready_servers().any(|s| s.zone != zone);
+        has_other_zones && servers.peek().is_some() && servers.all(has_just_stopped)
     }
 }
 
-/// Misses in a row that a server that is well has by such a chance at most, where it misses such a share of its probes.
-fn misses_needed(miss_rate: f64, chance: f64) -> u32 {
-    let needed = (chance.ln() / miss_rate.ln()).ceil();
+/// The number of consecutive misses that a healthy server, which misses this fraction of its probes, reaches with at
+/// most this chance.
+fn misses_needed(miss_rate: f64, max_chance: f64) -> u32 {
+    let needed = (max_chance.ln() / miss_rate.ln()).ceil();
     (needed as u32).clamp(1, MAX_MISSES_TO_SUSPECT)
 }
