--- a/crates/whinhill/src/interface.rs
+++ b/crates/whinhill/src/interface.rs
@@ -1,22 +1,25 @@
-//! What an [`Assigner`](crate::Assigner) is told and what it orders. Types only: no decisions.
+//! The events that an [`Assigner`](crate::Assigner) takes and the orders that it returns: types without decisions.
 //!
-//! Names are mapped to small indices at the door, that is, by whoever feeds the assigner: zones and
-//! methods count from 0 in the order of the settings, endpoints in the order in which they were met.
+//! Whoever feeds the assigner maps names to small indices: zones and methods count from 0 in the order of the settings,
+//! endpoints in the order in which they were first met.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// An endpoint: one server. `index` is small and local; `stable` is the same at every assigner.
+/// Identifies an endpoint, that is, one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ep {
+    /// A small number, valid at this assigner only; it is reused once nothing refers to the server any more.
     pub index: usize,
+    /// The same at every assigner.
     pub stable: u64,
 }
 
 impl Ep {
-    /// Its rendezvous weight for a slice: a 64-bit finalizer (splitmix64) over the stable id and the slice.
+    /// The weight of the endpoint for a slice in rendezvous hashing: the 64-bit finalizer of splitmix64 over the stable
+    /// id and the slice.
     pub fn weight(&self, slice: SliceId) -> u64 {
         let mut x = self.stable ^ (slice as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -25,71 +28,88 @@
     }
 }
 
+/// A proxy, by the number that the feed gave it.
 pub type ProxyId = u32;
+/// A slice, counted from 0.
 pub type SliceId = usize;
+/// A method, counted from 0 in the order of the settings.
 pub type MethodId = usize;
+/// A zone, counted from 0 in the order of the settings.
 pub type ZoneId = usize;
 
+/// What the list of servers says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listed {
+    /// It serves.
     Ready,
+    /// It still serves, but is about to end.
     Draining,
+    /// It is not in the list.
     #[default]
     Gone,
 }
 
+/// An entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub ep: Ep,
     pub zone: ZoneId,
     pub listed: Listed,
-    /// To be compared with other servers' sizes; it has no unit.
+    /// Capacity in comparison with other servers' sizes; it has no unit.
     pub size: f64,
-    /// `None`: long ago.
+    /// When the server started; `None`: long ago.
     pub started: Option<Duration>,
 }
 
+/// What a list of servers contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
+    /// The entries that have changed.
     Changes,
+    /// All entries.
     Full,
-    /// What the instance held last before it started; it may be old.
+    /// All entries that the instance knew before it was restarted; they may be out of date.
     Stored,
-    /// A call failed or the subscription broke; there are no entries.
+    /// No entries: a call failed, or the subscription broke.
     Failed,
 }
 
-/// A server's own account of its load; each figure is late, a little noisy, and may be missing.
+/// What a server reports of its own load. Each figure is late, a little noisy, and may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Busy share of its cores.
+    /// The busy fraction of its cores.
     pub cpu: Option<f64>,
-    /// RPCs it holds.
+    /// RPCs in flight there.
     pub in_hand: Option<f64>,
-    /// RPCs that wait there.
+    /// Those of them that are queued.
     pub waiting: Option<f64>,
-    /// Recent time of service, without waiting.
+    /// Recent service time, without the time in the queue.
     pub service: Option<Duration>,
 }
 
+/// The outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probe {
+    /// The server answered that it serves.
     Ok,
     /// It answered with an error.
     Aborted,
-    /// Sent back: it drains, or too many probes at a time.
+    /// It rejected the probe: it drains, or it has too many probes at a time.
     PushedBack,
     /// No answer, no connection, or a broken one.
     Unanswered,
 }
 
+/// What happened. `span` is the interval that a report covers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
+    /// The list of servers, or changes of it, have come.
     List {
         kind: ListKind,
         entries: Vec<Entry>,
     },
-    /// What the joined proxies of a zone met at a server, for our slices.
+    /// A report of the tries that the joined proxies of a zone sent to a server for slices in custody. `wait` is the
+    /// mean wait of ok answers.
     Met {
         ep: Ep,
         zone: ZoneId,
@@ -99,7 +119,7 @@
         span: Duration,
         load: LoadReport,
     },
-    /// The RPCs that came for a slice of ours.
+    /// A report of the RPCs that came for a slice in custody.
     Demand {
         slice: SliceId,
         method: MethodId,
@@ -107,27 +127,33 @@
         lost: u64,
         span: Duration,
     },
+    /// A probe was answered, or was not in time.
     Probed {
         ep: Ep,
         result: Probe,
         load: LoadReport,
     },
+    /// A proxy's stream was opened.
     Joined {
         proxy: ProxyId,
         zone: ZoneId,
     },
+    /// A proxy's stream was closed, or has broken.
     Left {
         proxy: ProxyId,
     },
-    /// `way`: from the order until it took effect.
+    /// A proxy acknowledges the message with the sequence number `mark`, and with it all earlier ones. `way` is the
+    /// transit time, from sending the orders until they took effect.
     Acked {
         proxy: ProxyId,
         mark: u16,
         way: Duration,
     },
+    /// This assigner has acquired custody of a slice.
     Given {
         slice: SliceId,
     },
+    /// This assigner has released a slice, or lost custody of it.
     Taken {
         slice: SliceId,
     },
@@ -136,40 +162,46 @@
         slice: SliceId,
         ep: Ep,
     },
-    /// Operators want the slice at another server: a plan's move, where there is room for it.
+    /// Operators request that the slice moves to another server. The next plan moves it, if that server has headroom.
     Wished {
         slice: SliceId,
         to: Ep,
     },
+    /// Nothing happened, but time has passed.
     Timer,
 }
 
-/// How a server stands in the eyes of the decisions.
+/// A server's state, as far as slices are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Ready,
+    /// It is ready, but still warming up.
     Cold,
+    /// It is listed as ready, but its slices leave, and it gets no others for a time.
     Sick,
     Draining,
     Gone,
 }
 
-/// Handovers that are under way, for whoever asks.
+/// A summary of handovers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandoverSummary {
+    /// Handovers in progress.
     pub under_way: usize,
-    /// Slices without a line, and for how long the first of them has had none.
+    /// Those of them whose slice has no line now.
     pub without_line: usize,
+    /// For how long the first of these slices has had no line.
     pub without_line_for: Duration,
-    /// Proxies whose answers are awaited, those of the oldest handover first.
+    /// Proxies that have not acknowledged yet, those of the oldest handover first.
     pub awaited: Vec<ProxyId>,
-    /// Handovers that ended with a grant, and the longest that one took.
+    /// Handovers that ended with a grant.
     pub granted: u64,
+    /// The longest time that such a handover took.
     pub longest: Duration,
 }
 
 impl Event {
-    /// The stretch of time that a report covers.
+    /// The interval that a report covers.
     pub fn span(&self) -> Option<Duration> {
         match self {
             Event::Met { span, .. } | Event::Demand { span, .. } => Some(*span),
@@ -178,53 +210,57 @@
     }
 }
 
-/// Which methods an order is for.
+/// The methods that an order applies to: bit `k` stands for method `k`.
 pub type MethodMask = u32;
 
-/// A level that lets everything in, whether levels are shares or rates: far more than a proxy could ever be sent.
+/// A level that admits everything, whether levels are shares or rates: far more than a proxy could ever be sent.
 pub const ALL_LET_IN: f64 = 1e6;
 
+/// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Make `ep` the slice's owner in every proxy's table and in the store. Where slices are exclusive it takes the
-    /// place of another's line; elsewhere that stays until it is revoked.
+    /// Make `ep` the slice's owner in every proxy's table and in the store. Where slices are exclusive, its line
+    /// replaces another owner's; elsewhere that line stays until it is revoked.
     Grant {
         slice: SliceId,
         ep: Ep,
     },
-    /// Take the owner's line away.
+    /// Remove the owner's line from every proxy's table.
     Revoke {
         slice: SliceId,
         ep: Ep,
     },
-    /// The share of some methods that is let in for a slice.
+    /// Set the level of some methods of a slice: the share of their RPCs that is admitted, or their rate.
     Level {
         slice: SliceId,
         share: f64,
         methods: MethodMask,
         tries: u8,
     },
-    /// Have every joined proxy answer this reply's message.
+    /// Request that every joined proxy acknowledges the message of this reply with the sequence number `mark`.
     Mark {
         mark: u16,
     },
-    /// Ask for changes of the list from now on.
+    /// Request the changes of the list from now on.
     Watch,
-    /// Ask for the whole list once.
+    /// Request the whole list once.
     Fetch,
+    /// Probe a server.
     Probe {
         ep: Ep,
     },
+    /// Call the assigner again after this time, even if nothing happens.
     Wake {
         after: Duration,
     },
+    /// Write a text to the log.
     Log {
         text: String,
     },
 }
 
 impl Order {
-    /// Whether it takes a line in the message to each proxy.
+    /// Whether the order takes a line in the message to each proxy.
     pub fn costs_a_line(&self) -> bool {
         !matches!(
             self,
@@ -233,13 +269,16 @@
     }
 }
 
-/// The settings as they came: names and values.
+/// The settings as they were given: paths and values.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, String>);
 
+/// A setting that is missing or cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
+    /// The path of the setting.
     pub path: String,
+    /// The value that cannot be read; `None`: the setting is missing.
     pub value: Option<String>,
 }
 
@@ -268,19 +307,19 @@
         value.and_then(|v| v.parse().ok()).ok_or_else(|| self.error(path))
     }
 
-    /// A yes or no, written 1 or 0, true or false.
+    /// A flag, written as 1 or 0, true or false.
     pub fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         self.0.get(path).and_then(|v| parse_flag(v)).ok_or_else(|| self.error(path))
     }
 
-    /// Yes or no for each method, set apart by commas.
+    /// A flag for each method, separated by commas.
     pub fn flags(&self, path: &str) -> Result<Vec<bool>, SettingsError> {
         let value = self.0.get(path).ok_or_else(|| self.error(path))?;
         let flags: Option<Vec<bool>> = value.split(',').map(parse_flag).collect();
         flags.ok_or_else(|| self.error(path))
     }
 
-    /// A value that may be absent. One that is there and cannot be read is a fault all the same.
+    /// A value that may be absent: `None` if the setting is missing. One that cannot be read is an error all the same.
     pub fn optional<T>(&self, value: Result<T, SettingsError>) -> Result<Option<T>, SettingsError> {
         match value {
             Ok(value) => Ok(Some(value)),
@@ -289,7 +328,7 @@
         }
     }
 
-    /// A span of time, written in milliseconds.
+    /// A duration, written in milliseconds.
     pub fn span(&self, path: &str) -> Result<Duration, SettingsError> {
         let ms = self.get::<f64>(path)?;
         Duration::try_from_secs_f64(ms / 1e3).map_err(|_| self.error(path))
