--- a/crates/whinhill/src/assigner/introspection.rs
+++ b/crates/whinhill/src/assigner/introspection.rs
@@ -73,7 +73,7 @@
         };
         let pending = handover.acks.values().filter(|ack| ack.state != AckState::Acknowledged).count();
         let without_line = handover.revoked_at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let from = self.slices[slice].owner.map_or("no owner".to_string(), |owner| format!("server {owner}"));
+        let from = self.slices[slice].owner.map_or("none".to_string(), |owner| format!("server {owner}"));
         let text = format!(
             "slice {slice} handed over from {from} to server {to} in {took:.1?}, {without_line:.1?} of it without a line: {last_wait}; {pending} proxies have not acknowledged"
         );
@@ -115,7 +115,7 @@
             let reason = match self.health(*from) {
                 Health::Draining => "draining",
                 Health::Gone => "gone",
-                Health::Sick => "unhealthy",
+                Health::Sick => "sick",
                 Health::Cold | Health::Ready => "over its cold budget",
             };
             let destination =
--- a/crates/whinhill/src/assigner/list.rs
+++ b/crates/whinhill/src/assigner/list.rs
@@ -62,7 +62,7 @@
                 };
                 has_restarted = true;
             }
-            // A list may be wrong: where dropping a server is advisory, one that serves stays until its answers end too.
+            // A list may be wrong: where it is advisory, a dropped server that serves stays until its answers end too.
             server.dropped_from_list =
                 gone_is_advisory && entry.listed == Listed::Gone && server.listed_status == Listed::Ready;
             if entry.listed == Listed::Ready && server.listed_status == Listed::Gone {
--- a/crates/whinhill/src/assigner/load.rs
+++ b/crates/whinhill/src/assigner/load.rs
@@ -80,7 +80,7 @@
     /// until any capacity is learned, it is demand over size, scaled to `ASSUMED_LOAD` on average.
     pub(super) fn load_snapshot(&self) -> LoadSnapshot {
         let now = self.now;
-        let custody = self.custody_fraction();
+        let custody_fraction = self.custody_fraction();
         let max_report_age = self.cfg.period * 3;
         // Loads count a slice at its destination, since reports lag; load per demand counts it where it is served.
         let place = |s: &Slice| s.handover.as_ref().and_then(|h| h.destination).or(s.owner);
@@ -99,7 +99,7 @@
         let known = ready.iter().filter_map(|s| {
             let admitted = served_demand[s.endpoint.index] * (1.0 - s.rejected_fraction) / s.size;
             let load = reported_cpu(s).or((!has_cpu_reports).then_some(ASSUMED_LOAD));
-            load.map(|load| (load * custody, admitted))
+            load.map(|load| (load * custody_fraction, admitted))
         });
         let (known_load, known_demand) =
             known.fold((0.0, 0.0), |(loads, demands), (load, demand)| (loads + load, demands + demand));
@@ -114,7 +114,7 @@
         let cold_unit = usual_unit / served_fraction.clamp(MIN_SERVED_FRACTION, 1.0);
 
         let usual_cost_demand = USUAL_COST_DEMAND_FRACTION * placed_demand.iter().sum::<f64>() / ready_count;
-        let slices_in_custody = (custody * self.slices.len() as f64).max(1.0);
+        let slices_in_custody = (custody_fraction * self.slices.len() as f64).max(1.0);
         let idle_slice_demand = IDLE_SLICE_FRACTION * placed_demand.iter().sum::<f64>() / slices_in_custody;
         let mut snapshot = LoadSnapshot {
             demand,
@@ -131,7 +131,7 @@
             // Load per demand at full capacity.
             let unit = match (cpu, snapshot.limits[server.endpoint.index]) {
                 (Some(cpu), _) if !is_cold => {
-                    (cpu * custody + usual_unit * usual_cost_demand)
+                    (cpu * custody_fraction + usual_unit * usual_cost_demand)
                         / (admitted + usual_cost_demand).max(1e-9)
                 }
                 (None, limit) if !has_cpu_reports && limit.is_finite() => 1.0 / limit.max(1e-9),
@@ -140,7 +140,7 @@
                 }
             };
             let own_load = placed * unit / ramp;
-            let others_load = cpu.unwrap_or(ASSUMED_LOAD) * (1.0 - custody) / ramp;
+            let others_load = cpu.unwrap_or(ASSUMED_LOAD) * (1.0 - custody_fraction) / ramp;
             let load = own_load + others_load;
             let load = if self.has_queueing(server) { load } else { load.min(HOT_LOAD) };
 
@@ -151,8 +151,8 @@
             } else {
                 (1.0, f64::MAX)
             };
-            let headroom =
-                ((HOT_LOAD / ramp - load) * offered_fraction * custody).clamp(0.0, max_headroom.max(0.0));
+            let headroom = ((HOT_LOAD / ramp - load) * offered_fraction * custody_fraction)
+                .clamp(0.0, max_headroom.max(0.0));
             let may_hold_more =
                 server.seen_serving || !self.cfg.may_probe && slice_count < MAX_UNCONFIRMED_SLICES;
             // What was just granted does not show in the report yet.
--- a/crates/whinhill/src/assigner/reports.rs
+++ b/crates/whinhill/src/assigner/reports.rs
@@ -87,7 +87,7 @@
         Some(evidence)
     }
 
-    /// Whether reports confirm that a server that misses probes answers no RPCs either, once the last batch is complete.
+    /// Whether reports confirm, once the last batch is complete, that a server that misses probes answers no RPCs.
     pub(super) fn is_confirmed_dead(&self, server: &Server) -> bool {
         let is_complete = self.report_batches.back().is_some_and(|last| self.now >= last.began_at + TICK);
         is_complete && !server.under_load && self.evidence(server).is_some_and(|evidence| evidence.is_dead())
--- a/crates/whinhill/src/interface.rs
+++ b/crates/whinhill/src/interface.rs
@@ -104,69 +104,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of servers, or changes of it, have come.
-    List {
-        kind: ListKind,
-        entries: Vec<Entry>,
-    },
+    List { kind: ListKind, entries: Vec<Entry> },
     /// A report of the tries that the joined proxies of a zone sent to a server for slices in custody. `wait` is the
     /// mean wait of ok answers.
-    Met {
-        ep: Ep,
-        zone: ZoneId,
-        tries: u64,
-        lost: u64,
-        wait: Duration,
-        span: Duration,
-        load: LoadReport,
-    },
+    Met { ep: Ep, zone: ZoneId, tries: u64, lost: u64, wait: Duration, span: Duration, load: LoadReport },
     /// A report of the RPCs that came for a slice in custody.
-    Demand {
-        slice: SliceId,
-        method: MethodId,
-        rpcs: u64,
-        lost: u64,
-        span: Duration,
-    },
+    Demand { slice: SliceId, method: MethodId, rpcs: u64, lost: u64, span: Duration },
     /// A probe was answered, or was not in time.
-    Probed {
-        ep: Ep,
-        result: Probe,
-        load: LoadReport,
-    },
+    Probed { ep: Ep, result: Probe, load: LoadReport },
     /// A proxy's stream was opened.
-    Joined {
-        proxy: ProxyId,
-        zone: ZoneId,
-    },
+    Joined { proxy: ProxyId, zone: ZoneId },
     /// A proxy's stream was closed, or has broken.
-    Left {
-        proxy: ProxyId,
-    },
+    Left { proxy: ProxyId },
     /// A proxy acknowledges the message with the sequence number `mark`, and with it all earlier ones. `way` is the
     /// transit time, from sending the orders until they took effect.
-    Acked {
-        proxy: ProxyId,
-        mark: u16,
-        way: Duration,
-    },
+    Acked { proxy: ProxyId, mark: u16, way: Duration },
     /// This assigner has acquired custody of a slice.
-    Given {
-        slice: SliceId,
-    },
+    Given { slice: SliceId },
     /// This assigner has released a slice, or lost custody of it.
-    Taken {
-        slice: SliceId,
-    },
+    Taken { slice: SliceId },
     /// A line of a slice's table as the store holds it; follows `Given`.
-    Stored {
-        slice: SliceId,
-        ep: Ep,
-    },
+    Stored { slice: SliceId, ep: Ep },
     /// Operators request that the slice moves to another server. The next plan moves it, if that server has headroom.
-    Wished {
-        slice: SliceId,
-        to: Ep,
-    },
+    Wished { slice: SliceId, to: Ep },
     /// Nothing happened, but time has passed.
     Timer,
 }
@@ -221,42 +181,23 @@
 pub enum Order {
     /// Make `ep` the slice's owner in every proxy's table and in the store. Where slices are exclusive, its line
     /// replaces another owner's; elsewhere that line stays until it is revoked.
-    Grant {
-        slice: SliceId,
-        ep: Ep,
-    },
+    Grant { slice: SliceId, ep: Ep },
     /// Remove the owner's line from every proxy's table.
-    Revoke {
-        slice: SliceId,
-        ep: Ep,
-    },
+    Revoke { slice: SliceId, ep: Ep },
     /// Set the level of some methods of a slice: the share of their RPCs that is admitted, or their rate.
-    Level {
-        slice: SliceId,
-        share: f64,
-        methods: MethodMask,
-        tries: u8,
-    },
+    Level { slice: SliceId, share: f64, methods: MethodMask, tries: u8 },
     /// Request that every joined proxy acknowledges the message of this reply with the sequence number `mark`.
-    Mark {
-        mark: u16,
-    },
+    Mark { mark: u16 },
     /// Request the changes of the list from now on.
     Watch,
     /// Request the whole list once.
     Fetch,
     /// Probe a server.
-    Probe {
-        ep: Ep,
-    },
+    Probe { ep: Ep },
     /// Call the assigner again after this time, even if nothing happens.
-    Wake {
-        after: Duration,
-    },
+    Wake { after: Duration },
     /// Write a text to the log.
-    Log {
-        text: String,
-    },
+    Log { text: String },
 }
 
 impl Order {
