--- a/crates/whinhill-store/src/custody.rs
+++ b/crates/whinhill-store/src/custody.rs
@@ -1,9 +1,10 @@
-//! Who is in charge of what: the deciding part, without I/O or clock.
+//! Decides which slices an assigner has custody of. No I/O and no clock.
 //!
-//! An assigner's charge rests on its sign of life in the store, which ends by itself. The holder judges the end
-//! from the time at which it *sent* the last renewal, and a margin earlier than the store can: so it has let go
-//! before any other can see the sign gone. Nobody takes from one that is alive; the one in charge gives up, in
-//! order, what another living assigner should have. Every change of custody raises the slice's epoch.
+//! Custody is held under a lease: the assigner's liveness key in the store, which expires unless it is renewed. The
+//! holder computes the end of its lease from the time at which it *sent* the last renewal, and subtracts a margin,
+//! so it stops acting before any other assigner can see the key expire. A slice is never taken from a live holder;
+//! the holder itself releases the slices that another live assigner should have. Every change of custody raises the
+//! slice's epoch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,195 +15,210 @@
 use crate::record::{Identity, Record};
 use crate::store::Swap;
 
+/// Settings of [`Custody`].
 #[derive(Clone, Debug)]
 pub struct CustodyConfig {
+    /// This assigner.
     pub me: Identity,
-    /// All assigners of the service, this one among them.
+    /// The names of all assigners of the service, including this one.
     pub peers: Vec<String>,
+    /// The number of slices.
     pub slices: usize,
-    /// How long a sign of life lasts in the store.
+    /// How long the liveness key lasts in the store after a renewal.
     pub ttl: Duration,
-    /// How much earlier the holder takes it for ended: clocks that run unevenly, and a pause before a send.
+    /// How much earlier the holder ends its lease. Covers clock drift and a pause between taking the send time and
+    /// sending.
     pub margin: Duration,
-    /// Slices given up or claimed in one round.
+    /// The maximum number of slices released, and the maximum number claimed, in one round.
     pub step: usize,
 }
 
-/// What has changed, in order.
+/// A change of custody, for the part of the assigner that decides about slices. Events are in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
+    /// Custody of a slice was acquired, in a new epoch and with the owner that the store holds.
     Given { slice: SliceId, epoch: u64, owner: Option<String> },
+    /// Custody of a slice has ended.
     Taken { slice: SliceId },
 }
 
+/// The slices that this assigner has custody of, and the lease under which it has them.
 #[derive(Debug)]
 pub struct Custody {
     config: CustodyConfig,
-    /// Until when our charge counts, by our clock.
-    until: Option<Duration>,
-    /// What is ours, as the store holds it.
-    ours: BTreeMap<SliceId, Record>,
-    /// Slices that are being given up: no longer ours, but the store does not know yet.
-    leaving: BTreeMap<SliceId, Record>,
-    /// The greatest epoch of each slice ever seen: one that the store has forgotten must not come again.
-    epochs: Vec<u64>,
+    /// The end of the lease on the local clock; `None` without a lease.
+    lease_end: Option<Duration>,
+    /// The slices held, with their records as stored.
+    held: BTreeMap<SliceId, Record>,
+    /// Slices that are no longer held, but whose release is not stored yet.
+    releasing: BTreeMap<SliceId, Record>,
+    /// The greatest epoch ever seen of each slice, so that no epoch is used twice if the store loses its records.
+    max_epochs: Vec<u64>,
 }
 
 impl Custody {
+    /// Creates a custody state without a lease and without slices.
     pub fn new(config: CustodyConfig) -> Self {
-        let epochs = vec![0; config.slices];
-        Custody { config, until: None, ours: BTreeMap::new(), leaving: BTreeMap::new(), epochs }
+        let max_epochs = vec![0; config.slices];
+        Custody { config, lease_end: None, held: BTreeMap::new(), releasing: BTreeMap::new(), max_epochs }
     }
 
+    /// The settings given to [`Custody::new`].
     pub fn config(&self) -> &CustodyConfig {
         &self.config
     }
 
-    /// Until when everything of ours may be acted on; `None` without a charge.
+    /// The end of the lease: until then the held slices may be acted on. `None` without a lease.
     pub fn until(&self) -> Option<Duration> {
-        self.until
+        self.lease_end
     }
 
+    /// Whether this assigner has custody of a slice.
     pub fn holds(&self, slice: SliceId) -> bool {
-        self.ours.contains_key(&slice)
+        self.held.contains_key(&slice)
     }
 
+    /// The number of slices held.
     pub fn count(&self) -> usize {
-        self.ours.len()
+        self.held.len()
     }
 
-    /// The sign of life was renewed by a command sent at `sent`.
+    /// Extends the lease after a successful renewal that was sent at `sent`.
     pub fn renewed(&mut self, sent: Duration) {
-        let until = sent + self.config.ttl.saturating_sub(self.config.margin);
-        self.until = Some(self.until.map_or(until, |old| old.max(until)));
+        let lease_end = sent + self.config.ttl.saturating_sub(self.config.margin);
+        self.lease_end = Some(self.lease_end.map_or(lease_end, |old| old.max(lease_end)));
     }
 
-    /// The sign is gone or another's: all is lost at once.
+    /// Ends the lease and drops all slices at once: the liveness key is gone or belongs to another incarnation.
     pub fn lost(&mut self) -> Vec<Told> {
-        self.until = None;
-        self.leaving.clear();
-        std::mem::take(&mut self.ours).into_keys().map(|slice| Told::Taken { slice }).collect()
+        self.lease_end = None;
+        self.releasing.clear();
+        std::mem::take(&mut self.held).into_keys().map(|slice| Told::Taken { slice }).collect()
     }
 
-    /// What has ended by our own clock.
+    /// Drops all slices if the lease has ended by the local clock.
     pub fn expire(&mut self, now: Duration) -> Vec<Told> {
-        match self.until {
-            Some(until) if now >= until => self.lost(),
+        match self.lease_end {
+            Some(lease_end) if now >= lease_end => self.lost(),
             _ => Vec::new(),
         }
     }
 
-    /// Looks at what the store holds, as read by a question sent at `now`. Returns what is ours no longer, and
-    /// the swaps by which others' slices would become ours.
+    /// Compares the held slices with the store's content, read by a query sent at `now`. Returns the slices whose
+    /// custody has ended, and the swaps that would claim further slices.
     pub fn read(
         &mut self,
         now: Duration,
         alive: &[Identity],
         records: &[Option<Record>],
     ) -> (Vec<Told>, Vec<Swap>) {
-        let mut told = self.expire(now);
-        if self.until.is_none() || !alive.contains(&self.config.me) {
-            return (told, Vec::new());
+        let mut events = self.expire(now);
+        if self.lease_end.is_none() || !alive.contains(&self.config.me) {
+            return (events, Vec::new());
         }
         let mut claims = Vec::new();
         for (slice, record) in records.iter().enumerate().take(self.config.slices) {
-            let seen = record.as_ref().map_or(0, |record| record.epoch);
-            self.epochs[slice] = self.epochs[slice].max(seen);
-            if let Some(mine) = self.ours.get(&slice) {
-                // Somebody has written over it, or the store has forgotten it: then it is not ours to act on.
+            let stored_epoch = record.as_ref().map_or(0, |record| record.epoch);
+            self.max_epochs[slice] = self.max_epochs[slice].max(stored_epoch);
+            if let Some(own) = self.held.get(&slice) {
+                // The record was overwritten, or the store lost it: custody has ended.
                 if record
                     .as_ref()
-                    .is_none_or(|r| r.epoch != mine.epoch || r.holder.as_ref() != Some(&self.config.me))
+                    .is_none_or(|r| r.epoch != own.epoch || r.holder.as_ref() != Some(&self.config.me))
                 {
-                    self.ours.remove(&slice);
-                    told.push(Told::Taken { slice });
+                    self.held.remove(&slice);
+                    events.push(Told::Taken { slice });
                 }
                 continue;
             }
-            // What names us though we have let go of it (an outcome was unknown) is claimed again, in a new epoch.
-            let dropped = |holder: &Identity| *holder == self.config.me && !self.leaving.contains_key(&slice);
+            // A record that still names this assigner, although it dropped the slice (after an unknown outcome), is
+            // claimed again in a new epoch.
+            let stale_own =
+                |holder: &Identity| *holder == self.config.me && !self.releasing.contains_key(&slice);
             let holder = record.as_ref().and_then(|r| r.holder.as_ref());
-            let free = holder.is_none_or(|holder| !alive.contains(holder) || dropped(holder));
-            if free && self.preferred(slice, alive) && claims.len() < self.config.step {
+            let claimable = holder.is_none_or(|holder| !alive.contains(holder) || stale_own(holder));
+            if claimable && self.is_preferred(slice, alive) && claims.len() < self.config.step {
                 let owner = record.as_ref().and_then(|r| r.owner.clone());
                 let holder = Some(self.config.me.clone());
-                let new = Record { epoch: self.epochs[slice] + 1, number: 0, holder, owner };
+                let new = Record { epoch: self.max_epochs[slice] + 1, number: 0, holder, owner };
                 claims.push(Swap { slice, expected: record.clone(), new });
             }
         }
-        let spare: Vec<SliceId> =
-            self.ours.keys().copied().filter(|slice| !self.preferred(*slice, alive)).collect();
-        for slice in spare.into_iter().take(self.config.step.saturating_sub(self.leaving.len())) {
-            if let Some(record) = self.ours.remove(&slice) {
-                self.leaving.insert(slice, record);
-                told.push(Told::Taken { slice });
+        let surplus: Vec<SliceId> =
+            self.held.keys().copied().filter(|slice| !self.is_preferred(*slice, alive)).collect();
+        for slice in surplus.into_iter().take(self.config.step.saturating_sub(self.releasing.len())) {
+            if let Some(record) = self.held.remove(&slice) {
+                self.releasing.insert(slice, record);
+                events.push(Told::Taken { slice });
             }
         }
-        (told, claims)
+        (events, claims)
     }
 
-    /// Gives up everything, in an orderly stop.
+    /// Starts the release of all slices, for an orderly stop.
     pub fn leave(&mut self) -> Vec<Told> {
-        let ours = std::mem::take(&mut self.ours);
-        let told = ours.keys().map(|slice| Told::Taken { slice: *slice }).collect();
-        self.leaving.extend(ours);
-        told
+        let held = std::mem::take(&mut self.held);
+        let events = held.keys().map(|slice| Told::Taken { slice: *slice }).collect();
+        self.releasing.extend(held);
+        events
     }
 
-    /// The swaps that tell the store what was given up. To be done only once nobody here acts on those slices.
+    /// The swaps that record pending releases. To be performed only once this assigner no longer acts on the slices.
     pub fn releases(&self) -> Vec<Swap> {
         let release = |(slice, record): (&SliceId, &Record)| Swap {
             slice: *slice,
             expected: Some(record.clone()),
             new: Record { number: record.number + 1, holder: None, ..record.clone() },
         };
-        self.leaving.iter().take(self.config.step).map(release).collect()
+        self.releasing.iter().take(self.config.step).map(release).collect()
     }
 
-    /// The releases are done, or the records were not what we thought: both ways they are not ours.
+    /// Removes releases from the pending ones: they were stored, or their records differ from what was expected.
+    /// Either way the slices are not held.
     pub fn released(&mut self, swaps: &[Swap]) {
-        swaps.iter().for_each(|swap| drop(self.leaving.remove(&swap.slice)));
+        swaps.iter().for_each(|swap| drop(self.releasing.remove(&swap.slice)));
     }
 
-    /// Claims that the store has taken, at `now`.
+    /// Acquires the slices of claims that the store has performed. Does nothing if the lease has ended at `now`.
     pub fn claimed(&mut self, now: Duration, swaps: &[Swap]) -> Vec<Told> {
-        if self.until.is_none_or(|until| now >= until) {
+        if self.lease_end.is_none_or(|lease_end| now >= lease_end) {
             return Vec::new();
         }
-        let mut told = Vec::new();
+        let mut events = Vec::new();
         for Swap { slice, new, .. } in swaps {
-            self.epochs[*slice] = self.epochs[*slice].max(new.epoch);
-            self.ours.insert(*slice, new.clone());
-            told.push(Told::Given { slice: *slice, epoch: new.epoch, owner: new.owner.clone() });
+            self.max_epochs[*slice] = self.max_epochs[*slice].max(new.epoch);
+            self.held.insert(*slice, new.clone());
+            events.push(Told::Given { slice: *slice, epoch: new.epoch, owner: new.owner.clone() });
         }
-        told
+        events
     }
 
-    /// The swap by which the store learns of a new owner; `None` if the slice is not ours in that epoch.
+    /// The swap that stores a slice's new owner; `None` if the slice is not held in that epoch.
     pub fn grant(&self, slice: SliceId, epoch: u64, owner: &str) -> Option<Swap> {
-        let record = self.ours.get(&slice).filter(|record| record.epoch == epoch)?;
+        let record = self.held.get(&slice).filter(|record| record.epoch == epoch)?;
         let new = Record { number: record.number + 1, owner: Some(owner.to_string()), ..record.clone() };
         Some(Swap { slice, expected: Some(record.clone()), new })
     }
 
+    /// Notes that the swap of a grant was performed.
     pub fn granted(&mut self, swap: &Swap) {
-        if let Some(record) = self.ours.get_mut(&swap.slice).filter(|record| record.epoch == swap.new.epoch) {
+        if let Some(record) = self.held.get_mut(&swap.slice).filter(|record| record.epoch == swap.new.epoch) {
             record.clone_from(&swap.new);
         }
     }
 
-    /// Nobody knows whether these were done: the slices are not ours to act on until the store tells.
+    /// Drops the slices of swaps with an unknown outcome. A later read of the store decides about them.
     pub fn unknown(&mut self, swaps: &[Swap]) -> Vec<Told> {
-        let lost = swaps.iter().filter(|swap| self.ours.remove(&swap.slice).is_some());
-        lost.map(|swap| Told::Taken { slice: swap.slice }).collect()
+        let dropped = swaps.iter().filter(|swap| self.held.remove(&swap.slice).is_some());
+        dropped.map(|swap| Told::Taken { slice: swap.slice }).collect()
     }
 
-    /// Whether a slice should be ours among the living: by rendezvous, so that few change hands with each
-    /// assigner that comes or goes.
-    fn preferred(&self, slice: SliceId, alive: &[Identity]) -> bool {
+    /// Whether this assigner should have a slice among the live ones. Rendezvous hashing keeps the number of slices
+    /// that move small when an assigner joins or leaves.
+    fn is_preferred(&self, slice: SliceId, alive: &[Identity]) -> bool {
         let weight = |name: &str| (xxh3_64_with_seed(name.as_bytes(), slice as u64), name.to_string());
-        let mine = weight(&self.config.me.name);
-        alive.iter().all(|other| other.name == self.config.me.name || weight(&other.name) < mine)
+        let own_weight = weight(&self.config.me.name);
+        alive.iter().all(|other| other.name == self.config.me.name || weight(&other.name) < own_weight)
     }
 }
 
--- a/crates/whinhill-store/src/custody/tests.rs
+++ b/crates/whinhill-store/src/custody/tests.rs
@@ -28,42 +28,42 @@
     })
 }
 
-/// The store as it should be, with a clock of its own.
+/// A model of the store, with its own clock.
 #[derive(Default)]
-struct Model {
-    lives: BTreeMap<String, (u64, Duration)>,
+struct ModelStore {
+    liveness: BTreeMap<String, (u64, Duration)>,
     records: Vec<Option<Record>>,
 }
 
-impl Model {
+impl ModelStore {
     fn alive(&self, now: Duration) -> Vec<Identity> {
-        let living = self.lives.iter().filter(|(_, (_, ends))| now < *ends);
-        living.map(|(name, (life, _))| identity(name, *life)).collect()
+        let live = self.liveness.iter().filter(|(_, (_, expires))| now < *expires);
+        live.map(|(name, (life, _))| identity(name, *life)).collect()
     }
 
     fn swap(&mut self, swaps: &[Swap]) -> bool {
-        let same = swaps.iter().all(|swap| self.records[swap.slice] == swap.expected);
-        for swap in swaps.iter().filter(|_| same) {
+        let unchanged = swaps.iter().all(|swap| self.records[swap.slice] == swap.expected);
+        for swap in swaps.iter().filter(|_| unchanged) {
             let old = self.records[swap.slice].as_ref().map_or((0, 0), |r| (r.epoch, r.number));
-            assert!((swap.new.epoch, swap.new.number) > old, "a record fell back");
+            assert!((swap.new.epoch, swap.new.number) > old, "a record went backwards");
             self.records[swap.slice] = Some(swap.new.clone());
         }
-        same
+        unchanged
     }
 }
 
-/// One round of an assigner at the store's time `now`; `lag` is how long each exchange takes.
-fn round(c: &mut Custody, store: &mut Model, now: Duration) {
+/// Runs one round of an assigner against the model at the store's time `now`.
+fn run_round(c: &mut Custody, store: &mut ModelStore, now: Duration) {
     let me = c.config().me.clone();
     c.expire(now);
-    match store.lives.get(&me.name).filter(|(_, ends)| now < *ends) {
+    match store.liveness.get(&me.name).filter(|(_, expires)| now < *expires) {
         Some((life, _)) if *life != me.life => return,
         _ => {}
     }
-    if store.lives.get(&me.name).is_none_or(|(life, ends)| *life != me.life || now >= *ends) {
+    if store.liveness.get(&me.name).is_none_or(|(life, expires)| *life != me.life || now >= *expires) {
         c.lost();
     }
-    store.lives.insert(me.name.clone(), (me.life, now + TTL));
+    store.liveness.insert(me.name.clone(), (me.life, now + TTL));
     c.renewed(now);
     let (_, claims) = c.read(now, &store.alive(now), &store.records.clone());
     let releases = c.releases();
@@ -76,113 +76,113 @@
 }
 
 #[test]
-fn the_holder_lets_go_before_another_can_claim() {
+fn holder_expires_before_another_assigner_can_claim() {
     let (mut a, mut b) = (custody("a", 1), custody("b", 2));
-    let mut store = Model { records: vec![None; 8], ..Model::default() };
-    round(&mut a, &mut store, ms(0));
+    let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
+    run_round(&mut a, &mut store, ms(0));
     assert_eq!(a.count(), 8);
-    // a is cut off; b looks again and again.
-    let mut first = None;
+    // a can't reach the store any more; b runs a round every 10 ms.
+    let mut first_claim = None;
     for at in (0..3000).step_by(10) {
-        round(&mut b, &mut store, ms(at));
+        run_round(&mut b, &mut store, ms(at));
         a.expire(ms(at));
-        if b.count() > 0 && first.is_none() {
-            first = Some(at);
+        if b.count() > 0 && first_claim.is_none() {
+            first_claim = Some(at);
         }
-        assert!(b.count() == 0 || a.count() == 0, "both in charge at {at}");
+        assert!(b.count() == 0 || a.count() == 0, "both have custody at {at}");
     }
-    assert_eq!(first, Some(1000));
+    assert_eq!(first_claim, Some(1000));
 }
 
 #[test]
-fn an_assigner_that_stands_still_past_its_charge_wakes_without_one() {
+fn assigner_paused_past_its_lease_end_holds_nothing() {
     let mut a = custody("a", 1);
-    let mut store = Model { records: vec![None; 8], ..Model::default() };
-    round(&mut a, &mut store, ms(0));
+    let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
+    run_round(&mut a, &mut store, ms(0));
     let grant = a.grant(3, 1, "s").unwrap();
     assert_eq!(a.expire(ms(799)), []);
     assert_eq!(a.expire(ms(800)).len(), 8);
     assert_eq!(a.grant(3, 1, "s"), None);
-    // An answer that comes in the same moment gives it nothing back.
+    // The reply to a grant that arrives now must not restore custody.
     a.granted(&grant);
     assert!(!a.holds(3));
 }
 
 #[test]
-fn two_living_share_and_one_that_returns_gets_its_own_back_in_a_new_epoch() {
+fn restarted_assigner_regains_its_share_in_a_new_epoch() {
     let (mut a, mut b) = (custody("a", 1), custody("b", 2));
-    let mut store = Model { records: vec![None; 8], ..Model::default() };
+    let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
     for at in [0, 100, 200, 300] {
-        round(&mut a, &mut store, ms(at));
-        round(&mut b, &mut store, ms(at + 50));
+        run_round(&mut a, &mut store, ms(at));
+        run_round(&mut b, &mut store, ms(at + 50));
     }
-    let share = a.count();
-    assert!(share > 0 && share < 8 && b.count() == 8 - share);
+    let a_share = a.count();
+    assert!(a_share > 0 && a_share < 8 && b.count() == 8 - a_share);
     let mut at = 350;
     while b.count() < 8 {
         at += 50;
-        round(&mut b, &mut store, ms(at));
+        run_round(&mut b, &mut store, ms(at));
         assert!(at < 3000);
     }
-    let mut again = custody("a", 9);
+    let mut restarted = custody("a", 9);
     for step in 0..10 {
-        round(&mut again, &mut store, ms(at + step * 100));
-        round(&mut b, &mut store, ms(at + step * 100 + 50));
+        run_round(&mut restarted, &mut store, ms(at + step * 100));
+        run_round(&mut b, &mut store, ms(at + step * 100 + 50));
     }
-    assert_eq!((again.count(), b.count()), (share, 8 - share));
+    assert_eq!((restarted.count(), b.count()), (a_share, 8 - a_share));
     let epoch = |slice: &SliceId| store.records[*slice].as_ref().unwrap().epoch;
-    assert!(again.ours.keys().all(|slice| epoch(slice) == 3));
+    assert!(restarted.held.keys().all(|slice| epoch(slice) == 3));
 }
 
 #[test]
-fn what_the_store_may_or_may_not_have_done_is_not_ours() {
+fn unknown_swap_outcome_drops_the_slice_until_it_is_claimed_again() {
     let mut a = custody("a", 1);
-    let mut store = Model { records: vec![None; 8], ..Model::default() };
-    round(&mut a, &mut store, ms(0));
+    let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
+    run_round(&mut a, &mut store, ms(0));
     let grant = a.grant(3, 1, "s").unwrap();
     assert_eq!(a.unknown(std::slice::from_ref(&grant)), [Told::Taken { slice: 3 }]);
     store.swap(&[grant]);
     assert!(!a.holds(3));
-    // The store names us still, in an epoch that we have let go of: it is ours again in a new one, with the
-    // owner that the store turns out to hold.
-    round(&mut a, &mut store, ms(100));
+    // The record still names this assigner, in an epoch that it dropped. It claims the slice again in a new epoch,
+    // with the owner that the store turns out to hold.
+    run_round(&mut a, &mut store, ms(100));
     let record = store.records[3].clone().unwrap();
     assert_eq!((a.holds(3), record.epoch, record.owner.as_deref()), (true, 2, Some("s")));
 }
 
 #[test]
-fn a_store_that_comes_back_empty_brings_no_epoch_again() {
+fn epochs_are_not_reused_after_the_store_lost_its_records() {
     let mut a = custody("a", 1);
-    let mut store = Model { records: vec![None; 8], ..Model::default() };
-    round(&mut a, &mut store, ms(0));
-    store = Model { records: vec![None; 8], ..Model::default() };
-    round(&mut a, &mut store, ms(100));
-    round(&mut a, &mut store, ms(200));
+    let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
+    run_round(&mut a, &mut store, ms(0));
+    store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
+    run_round(&mut a, &mut store, ms(100));
+    run_round(&mut a, &mut store, ms(200));
     assert!(store.records.iter().flatten().all(|r| r.epoch == 2), "{:?}", store.records);
 }
 
-/// Assigners that stop, stand still and return in an order drawn from a seed: a slice never has two in charge.
+/// Assigners stop, pause and restart in an order drawn from a seed. No slice may ever have two holders.
 #[test]
-fn no_slice_is_ever_in_two_hands() {
+fn random_pauses_and_restarts_never_give_a_slice_two_holders() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut store = Model { records: vec![None; 8], ..Model::default() };
+        let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
         let mut all = [custody("a", 1), custody("b", 2)];
         let (mut now, mut life) = (0, 10);
         for step in 0..400 {
             now += rng.random_range(1..150);
-            let who = rng.random_range(0..2);
+            let index = rng.random_range(0..2);
             match rng.random_range(0..20) {
                 0 => {
                     life += 1;
-                    all[who] = custody(["a", "b"][who], life);
+                    all[index] = custody(["a", "b"][index], life);
                 }
                 1..4 => now += rng.random_range(0..900),
-                _ => round(&mut all[who], &mut store, ms(now)),
+                _ => run_round(&mut all[index], &mut store, ms(now)),
             }
             all.iter_mut().for_each(|c| drop(c.expire(ms(now))));
-            let twice = (0..8).find(|slice| all.iter().all(|c| c.holds(*slice)));
-            assert_eq!(twice, None, "seed {seed}, step {step}");
+            let held_twice = (0..8).find(|slice| all.iter().all(|c| c.holds(*slice)));
+            assert_eq!(held_twice, None, "seed {seed}, step {step}");
         }
     }
 }
--- a/crates/whinhill-store/src/record.rs
+++ b/crates/whinhill-store/src/record.rs
@@ -1,12 +1,14 @@
-//! What the store holds of a slice.
+//! The record that the store holds for each slice, and its text form.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// An assigner's name and which of its lives this is: one that returns is another one to the store.
+/// An assigner's name and incarnation. A restarted assigner counts as a different holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
+    /// The configured name, the same after a restart.
     pub name: String,
+    /// The incarnation number, drawn anew at each start.
     pub life: u64,
 }
 
@@ -28,30 +30,33 @@
     }
 }
 
-/// A slice's custody and owner. It is only ever replaced by one whose epoch, or within it number, is greater.
+/// A slice's custody and owner. A record is only replaced by one with a greater `(epoch, number)`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
+    /// Raised by each change of custody.
     pub epoch: u64,
+    /// Raised by each change within an epoch.
     pub number: u64,
-    /// Who is in charge; `None` once it was given up in order.
+    /// The assigner that has custody; `None` after an orderly release.
     pub holder: Option<Identity>,
-    /// The server that may have been told to any proxy as the owner.
+    /// The server that may have been published to proxies as the slice's owner.
     pub owner: Option<String>,
 }
 
+/// A text that is not an [`Identity`] or a [`Record`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a record of this program: {0:?}")]
+#[error("not a valid identity or slice record: {0:?}")]
 pub struct RecordError(pub String);
 
-/// Marks the form, so that a later one can be told from it.
-const FORM: &str = "w1";
+/// Leads each record, so that later formats can be distinguished.
+const FORMAT_TAG: &str = "w1";
 
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let holder = self.holder.as_ref().map(Identity::to_string).unwrap_or_default();
         write!(
             f,
-            "{FORM} {} {} {holder} {}",
+            "{FORMAT_TAG} {} {} {holder} {}",
             self.epoch,
             self.number,
             self.owner.as_deref().unwrap_or_default()
@@ -69,12 +74,12 @@
     /// assert!("w9 1 1  ".parse::<Record>().is_err());
     /// ```
     fn from_str(text: &str) -> Result<Self, RecordError> {
-        let fault = || RecordError(text.chars().take(120).collect());
+        let invalid = || RecordError(text.chars().take(120).collect());
         let parts: Vec<&str> = text.split(' ').collect();
-        let [FORM, epoch, number, holder, owner] = parts[..] else { return Err(fault()) };
+        let [FORMAT_TAG, epoch, number, holder, owner] = parts[..] else { return Err(invalid()) };
         Ok(Record {
-            epoch: epoch.parse().map_err(|_| fault())?,
-            number: number.parse().map_err(|_| fault())?,
+            epoch: epoch.parse().map_err(|_| invalid())?,
+            number: number.parse().map_err(|_| invalid())?,
             holder: if holder.is_empty() { None } else { Some(holder.parse()?) },
             owner: (!owner.is_empty()).then(|| owner.to_string()),
         })
