--- a/crates/whinhill-store/src/lib.rs
+++ b/crates/whinhill-store/src/lib.rs
@@ -1,7 +1,8 @@
-//! What assigners share: a store that speaks RESP, and nothing else.
+//! The store that assigners share, and the custody of slices that is recorded in it.
 //!
-//! [`Custody`] decides, without I/O, which slices an assigner is in charge of and until when; [`Store`] is all
-//! that it asks of a store; [`RespStore`] speaks it to a real one. `docs/store.md` tells what is relied on.
+//! Assigners share no other state than this store, which they reach over RESP. [`Custody`] decides, without I/O,
+//! which slices an assigner has custody of and until when. [`Store`] is the interface that it needs of a store, and
+//! [`RespStore`] implements it for a RESP server. `docs/store.md` lists the guarantees that the store must give.
 
 mod custody;
 mod record;
--- a/crates/whinhill-store/src/redis.rs
+++ b/crates/whinhill-store/src/redis.rs
@@ -1,4 +1,4 @@
-//! The store over RESP. Compare-and-set is WATCH, GET, MULTI, SET, EXEC; signs of life are keys that expire.
+//! The store over RESP. Compare-and-swap is WATCH, MGET, MULTI, SET, EXEC; liveness keys are keys with an expiry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,43 +6,49 @@
 use whinhill::interface::SliceId;
 
 use crate::record::{Identity, Record};
-use crate::resp::{command, Connection, Failed, Frame};
+use crate::resp::{command, Connection, ExchangeError, Frame};
 use crate::store::{Outcome, Store, StoreFault, Swap};
 
+/// Settings of [`RespStore`].
 #[derive(Clone, Debug)]
 pub struct RespConfig {
+    /// The store's address.
     pub addr: SocketAddr,
-    /// Goes before every key, so that several services can share a store.
+    /// Prepended to every key, so that several services can share a store.
     pub prefix: String,
-    /// Each exchange with the store ends in this time.
+    /// The timeout of each exchange with the store.
     pub within: Duration,
 }
 
+/// A store on a RESP server, over one connection that is opened when it is needed.
 pub struct RespStore {
     config: RespConfig,
     connection: Option<Connection>,
 }
 
-fn text(frame: &Frame) -> Option<&str> {
+/// The content of a string frame; `None` for other frames and for invalid UTF-8.
+fn string_value(frame: &Frame) -> Option<&str> {
     match frame {
         Frame::BulkString(bytes) | Frame::SimpleString(bytes) => std::str::from_utf8(bytes).ok(),
         _ => None,
     }
 }
 
-fn out_of_step(frame: &Frame) -> StoreFault {
+/// The fault that an error reply, or a reply of the wrong type, amounts to.
+fn unexpected_reply(frame: &Frame) -> StoreFault {
     match frame {
         Frame::Error(text) => StoreFault::Refused(text.to_string()),
-        other => StoreFault::OutOfStep(format!("{other:?}").chars().take(120).collect()),
+        other => StoreFault::UnexpectedReply(format!("{other:?}").chars().take(120).collect()),
     }
 }
 
 impl RespStore {
+    /// Creates a store client. It connects at the first operation.
     pub fn new(config: RespConfig) -> Self {
         RespStore { config, connection: None }
     }
 
-    fn life_key(&self, name: &str) -> String {
+    fn liveness_key(&self, name: &str) -> String {
         format!("{}/alive/{name}", self.config.prefix)
     }
 
@@ -50,15 +56,18 @@
         format!("{}/slice/{slice}", self.config.prefix)
     }
 
-    /// One exchange, on a new connection if the last one failed.
-    fn exchange(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, Failed> {
+    /// Performs one exchange, on a new connection if the last exchange failed.
+    fn exchange(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, ExchangeError> {
         let within = self.config.within;
         if self.connection.is_none() {
             let opened = Connection::open(self.config.addr, within);
-            self.connection = Some(opened.map_err(|fault| Failed { fault, sent: false })?);
+            self.connection = Some(opened.map_err(|fault| ExchangeError { fault, may_have_arrived: false })?);
         }
         let Some(connection) = &mut self.connection else {
-            return Err(Failed { fault: StoreFault::Unreachable("no connection".into()), sent: false });
+            return Err(ExchangeError {
+                fault: StoreFault::Unreachable("no connection".into()),
+                may_have_arrived: false,
+            });
         };
         let result = connection.exchange(commands, within);
         if result.is_err() {
@@ -67,99 +76,106 @@
         result
     }
 
-    /// A question that changes nothing: what fails was not done.
-    fn ask(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, StoreFault> {
-        self.exchange(commands).map_err(|failed| failed.fault)
+    /// Performs an exchange of commands that change nothing, so a failed one has had no effect.
+    fn query(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, StoreFault> {
+        self.exchange(commands).map_err(|error| error.fault)
     }
 
-    /// Watches keys and reads them.
-    fn watched(&mut self, keys: &[String]) -> Result<Vec<Option<String>>, StoreFault> {
-        let words = |verb: &'static str| -> Vec<&str> {
+    /// Watches keys and reads their values.
+    fn watch_and_get(&mut self, keys: &[String]) -> Result<Vec<Option<String>>, StoreFault> {
+        let arguments = |verb: &'static str| -> Vec<&str> {
             std::iter::once(verb).chain(keys.iter().map(String::as_str)).collect()
         };
-        let answers = self.ask(&[command(&words("WATCH")), command(&words("MGET"))])?;
-        let Frame::Array(values) = &answers[1] else { return Err(out_of_step(&answers[1])) };
+        let replies = self.query(&[command(&arguments("WATCH")), command(&arguments("MGET"))])?;
+        let Frame::Array(values) = &replies[1] else { return Err(unexpected_reply(&replies[1])) };
         if values.len() != keys.len() {
-            return Err(StoreFault::OutOfStep(format!("{} values for {} keys", values.len(), keys.len())));
+            return Err(StoreFault::UnexpectedReply(format!(
+                "{} values for {} keys",
+                values.len(),
+                keys.len()
+            )));
         }
-        Ok(values.iter().map(|value| text(value).map(str::to_string)).collect())
+        Ok(values.iter().map(|value| string_value(value).map(str::to_string)).collect())
     }
 
-    /// Runs commands if no watched key has changed. True if they ran.
-    fn transact(&mut self, commands: Vec<Frame>) -> Outcome<bool> {
+    /// Runs commands in a transaction if no watched key has changed. Returns true if they ran.
+    fn run_transaction(&mut self, commands: Vec<Frame>) -> Outcome<bool> {
         let mut all = vec![command(&["MULTI"])];
         all.extend(commands);
         all.push(command(&["EXEC"]));
         match self.exchange(&all) {
-            Err(Failed { fault, sent: false }) => Outcome::NotDone(fault),
-            // EXEC may have run: the answer alone could tell.
-            Err(Failed { fault, sent: true }) => Outcome::Unknown(fault),
-            Ok(answers) => match answers.last() {
+            Err(ExchangeError { fault, may_have_arrived: false }) => Outcome::NotDone(fault),
+            // EXEC may have run; only its reply would tell.
+            Err(ExchangeError { fault, may_have_arrived: true }) => Outcome::Unknown(fault),
+            Ok(replies) => match replies.last() {
                 Some(Frame::Null) => Outcome::Done(false),
                 Some(Frame::Array(_)) => Outcome::Done(true),
-                Some(other) => Outcome::NotDone(out_of_step(other)),
-                None => Outcome::Unknown(StoreFault::OutOfStep("no answer to EXEC".into())),
+                Some(other) => Outcome::NotDone(unexpected_reply(other)),
+                None => Outcome::Unknown(StoreFault::UnexpectedReply("no reply to EXEC".into())),
             },
         }
     }
 
     fn unwatch(&mut self) {
-        // If it fails the connection is dropped, which unwatches too.
+        // If this fails, the connection is dropped, which also ends the watch.
         let _ = self.exchange(&[command(&["UNWATCH"])]);
     }
 }
 
-fn millis(span: Duration) -> String {
-    span.as_millis().max(1).to_string()
+/// The argument of PX, which must be at least 1 ms.
+fn px_millis(ttl: Duration) -> String {
+    ttl.as_millis().max(1).to_string()
 }
 
 impl Store for RespStore {
     fn appear(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
-        let (key, life) = (self.life_key(&me.name), format!("{:x}", me.life));
-        match self.exchange(&[command(&["SET", &key, &life, "NX", "PX", &millis(ttl)])]) {
-            Err(Failed { fault, sent: false }) => Outcome::NotDone(fault),
-            Err(Failed { fault, sent: true }) => Outcome::Unknown(fault),
-            Ok(answers) => match &answers[0] {
+        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.life));
+        match self.exchange(&[command(&["SET", &key, &life, "NX", "PX", &px_millis(ttl)])]) {
+            Err(ExchangeError { fault, may_have_arrived: false }) => Outcome::NotDone(fault),
+            Err(ExchangeError { fault, may_have_arrived: true }) => Outcome::Unknown(fault),
+            Ok(replies) => match &replies[0] {
                 Frame::SimpleString(_) => Outcome::Done(()),
-                Frame::Null => match self.ask(&[command(&["GET", &key])]) {
-                    // An answer that was lost has done it after all.
-                    Ok(held) if text(&held[0]) == Some(&life) => self.renew(me, ttl),
-                    Ok(held) => {
-                        Outcome::NotDone(StoreFault::StillAlive(text(&held[0]).unwrap_or("?").into()))
-                    }
+                Frame::Null => match self.query(&[command(&["GET", &key])]) {
+                    // An earlier SET of this incarnation took effect although its reply was lost.
+                    Ok(current) if string_value(&current[0]) == Some(&life) => self.renew(me, ttl),
+                    Ok(current) => Outcome::NotDone(StoreFault::AlreadyRegistered(
+                        string_value(&current[0]).unwrap_or("?").into(),
+                    )),
                     Err(fault) => Outcome::NotDone(fault),
                 },
-                other => Outcome::NotDone(out_of_step(other)),
+                other => Outcome::NotDone(unexpected_reply(other)),
             },
         }
     }
 
     fn renew(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
-        let (key, life) = (self.life_key(&me.name), format!("{:x}", me.life));
-        match self.watched(std::slice::from_ref(&key)) {
+        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.life));
+        match self.watch_and_get(std::slice::from_ref(&key)) {
             Err(fault) => Outcome::NotDone(fault),
-            Ok(held) if held[0].as_deref() != Some(life.as_str()) => {
+            Ok(current) if current[0].as_deref() != Some(life.as_str()) => {
                 self.unwatch();
                 Outcome::NotDone(StoreFault::LifeLost)
             }
-            Ok(_) => match self.transact(vec![command(&["SET", &key, &life, "PX", &millis(ttl)])]) {
-                Outcome::Done(true) => Outcome::Done(()),
-                Outcome::Done(false) => Outcome::NotDone(StoreFault::LifeLost),
-                Outcome::NotDone(fault) => Outcome::NotDone(fault),
-                Outcome::Unknown(fault) => Outcome::Unknown(fault),
-            },
+            Ok(_) => {
+                match self.run_transaction(vec![command(&["SET", &key, &life, "PX", &px_millis(ttl)])]) {
+                    Outcome::Done(true) => Outcome::Done(()),
+                    Outcome::Done(false) => Outcome::NotDone(StoreFault::LifeLost),
+                    Outcome::NotDone(fault) => Outcome::NotDone(fault),
+                    Outcome::Unknown(fault) => Outcome::Unknown(fault),
+                }
+            }
         }
     }
 
     fn vanish(&mut self, me: &Identity) -> Outcome<()> {
-        let (key, life) = (self.life_key(&me.name), format!("{:x}", me.life));
-        match self.watched(std::slice::from_ref(&key)) {
+        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.life));
+        match self.watch_and_get(std::slice::from_ref(&key)) {
             Err(fault) => Outcome::NotDone(fault),
-            Ok(held) if held[0].as_deref() != Some(life.as_str()) => {
+            Ok(current) if current[0].as_deref() != Some(life.as_str()) => {
                 self.unwatch();
                 Outcome::Done(())
             }
-            Ok(_) => match self.transact(vec![command(&["DEL", &key])]) {
+            Ok(_) => match self.run_transaction(vec![command(&["DEL", &key])]) {
                 Outcome::Done(_) => Outcome::Done(()),
                 Outcome::NotDone(fault) => Outcome::NotDone(fault),
                 Outcome::Unknown(fault) => Outcome::Unknown(fault),
@@ -168,56 +184,63 @@
     }
 
     fn read(&mut self, names: &[String], slices: usize) -> Outcome<(Vec<Identity>, Vec<Option<Record>>)> {
-        let lives: Vec<String> = names.iter().map(|name| self.life_key(name)).collect();
-        let records: Vec<String> = (0..slices).map(|slice| self.slice_key(slice)).collect();
+        let liveness_keys: Vec<String> = names.iter().map(|name| self.liveness_key(name)).collect();
+        let record_keys: Vec<String> = (0..slices).map(|slice| self.slice_key(slice)).collect();
         let get = |keys: &[String]| {
-            let words: Vec<&str> = std::iter::once("MGET").chain(keys.iter().map(String::as_str)).collect();
-            command(&words)
+            let arguments: Vec<&str> =
+                std::iter::once("MGET").chain(keys.iter().map(String::as_str)).collect();
+            command(&arguments)
         };
-        // Lives are read first: a holder that is alive then may have given the slice up since, never the reverse.
-        let answers = match self.ask(&[get(&lives), get(&records)]) {
-            Ok(answers) => answers,
+        // Liveness is read before the records: a holder found live may have released a slice by the time the records
+        // are read, never the reverse.
+        let replies = match self.query(&[get(&liveness_keys), get(&record_keys)]) {
+            Ok(replies) => replies,
             Err(fault) => return Outcome::NotDone(fault),
         };
-        let (Frame::Array(lives), Frame::Array(held)) = (&answers[0], &answers[1]) else {
-            return Outcome::NotDone(out_of_step(&answers[0]));
+        let (Frame::Array(liveness), Frame::Array(values)) = (&replies[0], &replies[1]) else {
+            return Outcome::NotDone(unexpected_reply(&replies[0]));
         };
-        if lives.len() != names.len() || held.len() != slices {
-            return Outcome::NotDone(StoreFault::OutOfStep("another number of values than of keys".into()));
+        if liveness.len() != names.len() || values.len() != slices {
+            return Outcome::NotDone(StoreFault::UnexpectedReply(
+                "the numbers of values and keys differ".into(),
+            ));
         }
         let mut alive = Vec::new();
-        for (name, life) in names.iter().zip(lives) {
-            let Some(life) = text(life) else { continue };
+        for (name, life) in names.iter().zip(liveness) {
+            let Some(life) = string_value(life) else { continue };
             match u64::from_str_radix(life, 16) {
                 Ok(life) => alive.push(Identity { name: name.clone(), life }),
                 Err(_) => {
-                    return Outcome::NotDone(StoreFault::OutOfStep(format!("{life:?} is no life of {name}")))
+                    return Outcome::NotDone(StoreFault::UnexpectedReply(format!(
+                        "{life:?} is not an incarnation number of {name}"
+                    )))
                 }
             }
         }
-        let mut found = Vec::with_capacity(slices);
-        for value in held {
-            match text(value).map(str::parse::<Record>).transpose() {
-                Ok(record) => found.push(record),
-                Err(error) => return Outcome::NotDone(StoreFault::OutOfStep(error.to_string())),
+        let mut records = Vec::with_capacity(slices);
+        for value in values {
+            match string_value(value).map(str::parse::<Record>).transpose() {
+                Ok(record) => records.push(record),
+                Err(error) => return Outcome::NotDone(StoreFault::UnexpectedReply(error.to_string())),
             }
         }
-        Outcome::Done((alive, found))
+        Outcome::Done((alive, records))
     }
 
     fn swap(&mut self, swaps: &[Swap]) -> Outcome<bool> {
         let keys: Vec<String> = swaps.iter().map(|swap| self.slice_key(swap.slice)).collect();
-        let held = match self.watched(&keys) {
-            Ok(held) => held,
+        let current = match self.watch_and_get(&keys) {
+            Ok(current) => current,
             Err(fault) => return Outcome::NotDone(fault),
         };
-        let same =
-            |(swap, held): (&Swap, &Option<String>)| swap.expected.as_ref().map(Record::to_string) == *held;
-        if !swaps.iter().zip(&held).all(same) {
+        let unchanged = |(swap, current): (&Swap, &Option<String>)| {
+            swap.expected.as_ref().map(Record::to_string) == *current
+        };
+        if !swaps.iter().zip(&current).all(unchanged) {
             self.unwatch();
             return Outcome::Done(false);
         }
         let sets = swaps.iter().zip(&keys).map(|(swap, key)| command(&["SET", key, &swap.new.to_string()]));
-        self.transact(sets.collect())
+        self.run_transaction(sets.collect())
     }
 }
--- a/crates/whinhill-store/src/resp.rs
+++ b/crates/whinhill-store/src/resp.rs
@@ -1,4 +1,4 @@
-//! One connection that speaks RESP2: commands out in one write, answers in as many.
+//! One RESP2 connection. Commands are pipelined: all are sent in one write, then one reply is read for each.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,26 +14,31 @@
 
 use crate::store::StoreFault;
 
-/// The longest answer taken in: far over the records of any deployment.
-const ANSWER_MOST: usize = 64 << 20;
-/// Between two attempts of a transfer that fell short: little against the time of an exchange.
-const AGAIN: Duration = Duration::from_millis(5);
+/// The maximum number of buffered bytes before an incomplete reply is refused. Far more than the records of any
+/// deployment.
+const MAX_REPLY_BYTES: usize = 64 << 20;
+/// The wait between two attempts of a read or write that failed for lack of memory. Short against an exchange.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// The last connect within a time may take at least this.
-const CONNECT_LEAST: Duration = Duration::from_millis(1);
+/// The minimum timeout of a connect attempt, also of the last one before the overall timeout.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
+/// A connection to the store.
 pub struct Connection {
     stream: TcpStream,
-    held: BytesMut,
+    /// Bytes received and not yet decoded.
+    received: BytesMut,
 }
 
-/// A failed exchange, and whether the store may have seen the commands.
-pub struct Failed {
+/// A failed exchange.
+pub struct ExchangeError {
+    /// Why it failed.
     pub fault: StoreFault,
-    pub sent: bool,
+    /// Whether the store may have received the commands.
+    pub may_have_arrived: bool,
 }
 
-/// A command in the form that the protocol asks for: an array of bulk strings.
+/// Encodes a command as the protocol requires: an array of bulk strings.
 pub fn command(words: &[&str]) -> Frame {
     Frame::Array(
         words.iter().map(|word| Frame::BulkString(Bytes::copy_from_slice(word.as_bytes()))).collect(),
@@ -41,101 +46,121 @@
 }
 
 impl Connection {
-    pub fn open(addr: SocketAddr, within: Duration) -> Result<Self, StoreFault> {
-        Self::open_by(addr, within, |left| TcpStream::connect_timeout(&addr, left))
+    /// Connects within a timeout. An attempt that fails for a local reason is repeated until then.
+    pub fn open(addr: SocketAddr, timeout: Duration) -> Result<Self, StoreFault> {
+        Self::open_with(addr, timeout, |timeout| TcpStream::connect_timeout(&addr, timeout))
     }
 
-    fn open_by(
+    /// As [`Connection::open`], with a given connect function; tests make it fail.
+    fn open_with(
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         mut connect: impl FnMut(Duration) -> std::io::Result<TcpStream>,
     ) -> Result<Self, StoreFault> {
         let unreachable = |error: std::io::Error| StoreFault::Unreachable(format!("{addr}: {error}"));
         let started = Instant::now();
-        let left = || within.saturating_sub(started.elapsed()).max(CONNECT_LEAST);
-        let stream = until_had(within, is_local, || connect(left())).map_err(unreachable)?;
+        let remaining = || timeout.saturating_sub(started.elapsed()).max(MIN_CONNECT_TIMEOUT);
+        let stream = until_had(timeout, is_local, || connect(remaining())).map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
-        Ok(Connection { stream, held: BytesMut::new() })
+        Ok(Connection { stream, received: BytesMut::new() })
     }
 
-    /// Sends commands and reads one answer for each. After a failure the connection is out of step and must be
-    /// dropped: a late answer would be taken for a later command's.
-    pub fn exchange(&mut self, commands: &[Frame], within: Duration) -> Result<Vec<Frame>, Failed> {
-        let until = Instant::now() + within;
+    /// Sends commands and reads one reply for each. After a failure the connection must be dropped: a late reply
+    /// would be taken for the reply to a later command.
+    pub fn exchange(&mut self, commands: &[Frame], timeout: Duration) -> Result<Vec<Frame>, ExchangeError> {
+        let deadline = Instant::now() + timeout;
         let mut out = BytesMut::new();
         for frame in commands {
             let encoded = extend_encode(&mut out, frame, false);
-            encoded.map_err(|error| Failed { fault: StoreFault::Refused(error.to_string()), sent: false })?;
+            encoded.map_err(|error| ExchangeError {
+                fault: StoreFault::Refused(error.to_string()),
+                may_have_arrived: false,
+            })?;
         }
-        if !self.held.is_empty() {
-            let fault = StoreFault::OutOfStep(format!("{} bytes before the question", self.held.len()));
-            return Err(Failed { fault, sent: false });
+        if !self.received.is_empty() {
+            let fault =
+                StoreFault::UnexpectedReply(format!("{} bytes before the command", self.received.len()));
+            return Err(ExchangeError { fault, may_have_arrived: false });
         }
-        // Part of it may have arrived even where the write fails.
-        let lost = |error: std::io::Error| Failed { fault: io_fault(&error, within), sent: true };
-        self.stream.set_write_timeout(Some(within)).map_err(lost)?;
-        self.write_until(&out, until).map_err(lost)?;
-        let mut answers = Vec::with_capacity(commands.len());
-        while answers.len() < commands.len() {
-            match decode_bytes_mut(&mut self.held) {
-                Ok(Some((frame, _, _))) => answers.push(frame),
-                Ok(None) => self.fill(until, within).map_err(|fault| Failed { fault, sent: true })?,
+        // Some of the commands may have arrived even if the write fails.
+        let unsure = |error: std::io::Error| ExchangeError {
+            fault: io_error_to_fault(&error, timeout),
+            may_have_arrived: true,
+        };
+        self.stream.set_write_timeout(Some(timeout)).map_err(unsure)?;
+        self.write_all_by(&out, deadline).map_err(unsure)?;
+        let mut replies = Vec::with_capacity(commands.len());
+        while replies.len() < commands.len() {
+            match decode_bytes_mut(&mut self.received) {
+                Ok(Some((frame, _, _))) => replies.push(frame),
+                Ok(None) => self
+                    .read_some(deadline, timeout)
+                    .map_err(|fault| ExchangeError { fault, may_have_arrived: true })?,
                 Err(error) => {
-                    return Err(Failed { fault: StoreFault::OutOfStep(error.to_string()), sent: true })
+                    return Err(ExchangeError {
+                        fault: StoreFault::UnexpectedReply(error.to_string()),
+                        may_have_arrived: true,
+                    })
                 }
             }
         }
-        if !self.held.is_empty() {
-            let fault = StoreFault::OutOfStep(format!("{} bytes after the last answer", self.held.len()));
-            return Err(Failed { fault, sent: true });
+        if !self.received.is_empty() {
+            let fault =
+                StoreFault::UnexpectedReply(format!("{} bytes after the last reply", self.received.len()));
+            return Err(ExchangeError { fault, may_have_arrived: true });
         }
-        Ok(answers)
+        Ok(replies)
     }
 
-    /// Writes all, and goes on after a write that falls short while there is time.
-    fn write_until(&mut self, mut out: &[u8], until: Instant) -> std::io::Result<()> {
+    /// Writes all of `out`. Partial writes are continued, and writes that fail for lack of memory are repeated until
+    /// the deadline.
+    fn write_all_by(&mut self, mut out: &[u8], deadline: Instant) -> std::io::Result<()> {
         while !out.is_empty() {
             match self.stream.write(out) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => out = &out[count..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if is_short_of_memory(&error) && Instant::now() < until => thread::sleep(AGAIN),
+                Err(error) if is_short_of_memory(&error) && Instant::now() < deadline => {
+                    thread::sleep(RETRY_DELAY)
+                }
                 Err(error) => return Err(error),
             }
         }
         Ok(())
     }
 
-    fn fill(&mut self, until: Instant, within: Duration) -> Result<(), StoreFault> {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            return Err(StoreFault::Timeout(within));
+    /// Performs one read into the buffer. Returns without data after an interrupt or a lack of memory; the caller
+    /// repeats the call until the deadline.
+    fn read_some(&mut self, deadline: Instant, timeout: Duration) -> Result<(), StoreFault> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
+            return Err(StoreFault::Timeout(timeout));
         }
-        if self.held.len() > ANSWER_MOST {
-            return Err(StoreFault::OutOfStep(format!("an answer over {ANSWER_MOST} bytes")));
+        if self.received.len() > MAX_REPLY_BYTES {
+            return Err(StoreFault::UnexpectedReply(format!("a reply of more than {MAX_REPLY_BYTES} bytes")));
         }
         let mut chunk = [0; 64 << 10];
-        self.stream.set_read_timeout(Some(left)).map_err(|error| io_fault(&error, within))?;
+        self.stream.set_read_timeout(Some(remaining)).map_err(|error| io_error_to_fault(&error, timeout))?;
         match self.stream.read(&mut chunk) {
             Ok(0) => Err(StoreFault::Unreachable("the store closed the connection".into())),
             Ok(count) => {
-                self.held.extend_from_slice(&chunk[..count]);
+                self.received.extend_from_slice(&chunk[..count]);
                 Ok(())
             }
-            // Whoever fills goes on while there is time.
             Err(error) if error.kind() == ErrorKind::Interrupted => Ok(()),
             Err(error) if is_short_of_memory(&error) => {
-                thread::sleep(AGAIN);
+                thread::sleep(RETRY_DELAY);
                 Ok(())
             }
-            Err(error) => Err(io_fault(&error, within)),
+            Err(error) => Err(io_error_to_fault(&error, timeout)),
         }
     }
 }
 
-fn io_fault(error: &std::io::Error, within: Duration) -> StoreFault {
+/// The fault that an I/O error amounts to.
+fn io_error_to_fault(error: &std::io::Error, timeout: Duration) -> StoreFault {
     match error.kind() {
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => StoreFault::Timeout(within),
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => StoreFault::Timeout(timeout),
         _ => StoreFault::Unreachable(error.to_string()),
     }
 }
--- a/crates/whinhill-store/src/resp/tests.rs
+++ b/crates/whinhill-store/src/resp/tests.rs
@@ -3,38 +3,43 @@
 
 use super::*;
 
-const WITHIN: Duration = Duration::from_secs(5);
-/// As Linux numbers them.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Error numbers of Linux.
 const EADDRNOTAVAIL: i32 = 99;
 const ECONNREFUSED: i32 = 111;
 
-/// Opens a connection by connects of which the first ones fail; how many were made.
-fn open_after(failures: usize, number: i32, within: Duration) -> (usize, Result<Connection, StoreFault>) {
+/// Opens a connection whose first `failures` connects fail with error `number`. Returns the number of connects, too.
+fn open_after_failures(
+    failures: usize,
+    errno: i32,
+    timeout: Duration,
+) -> (usize, Result<Connection, StoreFault>) {
     let store = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = store.local_addr().unwrap();
-    let mut made = 0;
-    let opened = Connection::open_by(addr, within, |_| {
-        made += 1;
-        if made > failures {
+    let mut attempts = 0;
+    let opened = Connection::open_with(addr, timeout, |_| {
+        attempts += 1;
+        if attempts > failures {
             TcpStream::connect(addr)
         } else {
-            Err(io::Error::from_raw_os_error(number))
+            Err(io::Error::from_raw_os_error(errno))
         }
     });
-    (made, opened)
+    (attempts, opened)
 }
 
-/// For a moment without a port the assigner let go of the slices whose grants were on their way.
+/// A short lack of local ports once failed the exchange, and the assigner dropped the slices whose grants were being
+/// stored.
 #[test]
-fn a_connect_that_reaches_nobody_is_made_again_within_the_exchange() {
-    let (made, opened) = open_after(3, EADDRNOTAVAIL, WITHIN);
-    assert!(opened.is_ok() && made == 4, "{made}");
-    let (made, opened) = open_after(usize::MAX, EADDRNOTAVAIL, Duration::from_millis(50));
-    assert!(matches!(opened, Err(StoreFault::Unreachable(_))) && made > 1, "{made}");
+fn connect_is_repeated_after_a_local_error_until_the_timeout() {
+    let (attempts, opened) = open_after_failures(3, EADDRNOTAVAIL, TIMEOUT);
+    assert!(opened.is_ok() && attempts == 4, "{attempts}");
+    let (attempts, opened) = open_after_failures(usize::MAX, EADDRNOTAVAIL, Duration::from_millis(50));
+    assert!(matches!(opened, Err(StoreFault::Unreachable(_))) && attempts > 1, "{attempts}");
 }
 
 #[test]
-fn a_connect_that_the_store_refused_is_told_at_once() {
-    let (made, opened) = open_after(1, ECONNREFUSED, WITHIN);
-    assert!(matches!(opened, Err(StoreFault::Unreachable(_))) && made == 1, "{made}");
+fn connect_refused_by_the_store_is_reported_without_retry() {
+    let (attempts, opened) = open_after_failures(1, ECONNREFUSED, TIMEOUT);
+    assert!(matches!(opened, Err(StoreFault::Unreachable(_))) && attempts == 1, "{attempts}");
 }
--- a/crates/whinhill-store/src/store.rs
+++ b/crates/whinhill-store/src/store.rs
@@ -1,4 +1,4 @@
-//! All that is asked of a store.
+//! The store interface that custody needs.
 
 use std::time::Duration;
 
@@ -6,52 +6,66 @@
 
 use crate::record::{Identity, Record};
 
-/// How an act on the store ended. An unknown one may have been done or not, and is taken for neither.
+/// The result of a store operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome<T> {
+    /// The operation took effect.
     Done(T),
+    /// The operation had no effect.
     NotDone(StoreFault),
+    /// The operation may or may not have taken effect. Callers must assume neither.
     Unknown(StoreFault),
 }
 
+/// Why a store operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFault {
-    #[error("the store is out of reach: {0}")]
+    /// The connection could not be opened, or broke.
+    #[error("store unreachable: {0}")]
     Unreachable(String),
-    #[error("no answer within {0:?}")]
+    /// The exchange did not complete within its timeout.
+    #[error("no reply from the store within {0:?}")]
     Timeout(Duration),
-    #[error("the store refuses: {0}")]
+    /// The store replied with an error, or a command could not be encoded.
+    #[error("command refused: {0}")]
     Refused(String),
-    #[error("an answer that was not asked for: {0}")]
-    OutOfStep(String),
-    #[error("another life of this assigner still counts as alive: {0}")]
-    StillAlive(String),
-    #[error("our sign of life is gone from the store")]
+    /// A reply did not match its command, or its content could not be parsed.
+    #[error("unexpected reply from the store: {0}")]
+    UnexpectedReply(String),
+    /// The liveness key of the same assigner name is held by another incarnation.
+    #[error("another incarnation of this assigner is still registered: {0}")]
+    AlreadyRegistered(String),
+    /// The liveness key has expired or belongs to another incarnation.
+    #[error("the liveness key in the store no longer belongs to this assigner")]
     LifeLost,
 }
 
-/// One record to be replaced, if it still is what was read.
+/// A compare-and-swap of one slice's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Swap {
+    /// The slice whose record is replaced.
     pub slice: SliceId,
+    /// The record that must still be stored; `None` if none may exist.
     pub expected: Option<Record>,
+    /// The record to store instead.
     pub new: Record,
 }
 
-/// A store of signs of life, which end by themselves, and of one record a slice.
+/// A store of liveness keys, which expire unless they are renewed, and of one record for each slice.
 pub trait Store: Send {
-    /// Begins a life: fails while another of the same name counts as alive.
+    /// Creates the liveness key of `me`. Fails while a key of the same name exists.
     fn appear(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
 
-    /// Renews it: fails when the sign is no longer ours.
+    /// Extends the liveness key by `ttl` from now. Fails if the key no longer belongs to `me`.
     fn renew(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
 
-    /// Ends it in order.
+    /// Deletes the liveness key if it still belongs to `me`.
     fn vanish(&mut self, me: &Identity) -> Outcome<()>;
 
-    /// Which of the named assigners count as alive, and the records of all slices.
+    /// Returns the live assigners among `names`, and the records of all slices.
     fn read(&mut self, names: &[String], slices: usize) -> Outcome<(Vec<Identity>, Vec<Option<Record>>)>;
 
-    /// Replaces each record that is still what was expected: all of them or none, and true if all.
+    /// Performs all of `swaps` if every record still is as expected, and none otherwise. Returns true if they were
+    /// performed.
     fn swap(&mut self, swaps: &[Swap]) -> Outcome<bool>;
 }
