--- a/crates/whinhill-tables/src/keeper.rs
+++ b/crates/whinhill-tables/src/keeper.rs
@@ -1,182 +1,196 @@
-//! Turns orders into tables in versions.
+//! Turns the module's orders into published tables.
 //!
-//! A grant is told to nobody before the store holds it: whoever takes the slice over later must read the owner
-//! that any proxy may have been told. What follows on the same slice meanwhile is folded into its table and
-//! leaves with it, so a proxy never sees a grant without the levels that belong to it. Folding is safe since a
-//! proxy obeys the newest state, not each step: until the grant leaves, it holds a table whose writes are stopped.
+//! A grant is published only after it is stored: an assigner that takes the slice over later must find in the store
+//! any owner that a proxy may have seen. Orders that arrive for the same slice meanwhile are merged into its table and
+//! published together with the grant, so a proxy never sees a grant without its levels. Merging is safe because a
+//! proxy obeys the newest table, not each step: until the grant is published, it holds a table whose writes are
+//! stopped.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use whinhill::interface::{MethodMask, Order, SliceId};
 
-use crate::check::{check, Fault};
+use crate::check::{find_violations, Violation};
 use crate::table::{ServerName, SliceTable, TableSet, Version};
 
-/// A grant for the store to hold.
+/// A grant that must be stored before it is published.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingGrant {
+    /// The slice that is granted.
     pub slice: SliceId,
+    /// The epoch of the slice's custody.
     pub epoch: u64,
+    /// The new owner.
     pub owner: ServerName,
-    /// Tells this grant from others of the same slice.
+    /// Distinguishes this grant from others of the same slice.
     pub ticket: u64,
 }
 
-/// What one batch of orders changed.
+/// The outcome of one batch of orders.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changed {
-    /// Slices whose published table is another one now. A safety order (writes stopped, a line taken away) is
-    /// among them when `safety` is set.
+pub struct BatchOutcome {
+    /// Slices whose published table has changed.
     pub slices: BTreeSet<SliceId>,
+    /// Whether the batch had a safety order: writes were stopped, or a line was taken away.
     pub safety: bool,
+    /// Grants to store. See [`Keeper::granted`].
     pub grants: Vec<PendingGrant>,
-    pub faults: Vec<Fault>,
+    /// Why nothing was published, if the tables break rules.
+    pub faults: Vec<Violation>,
 }
 
-/// The tables as they are wanted, and as they are published.
+/// Publishes tables: holds the desired tables, and the published ones that may lag behind them.
 #[derive(Debug)]
 pub struct Keeper {
     slices: usize,
+    /// Whether each method writes.
     writes: Vec<bool>,
+    /// The retry policy of new tables.
     tries: u8,
+    /// The last number given to a version.
     number: u64,
-    wanted: TableSet,
+    desired: TableSet,
     published: TableSet,
-    /// Grants that the store does not hold yet: the last one of each slice.
+    /// The ticket of the last grant of each slice, as long as the grant is not stored.
     pending: BTreeMap<SliceId, u64>,
-    tickets: u64,
-    known: BTreeSet<ServerName>,
+    /// The last ticket given to a grant.
+    last_ticket: u64,
+    /// The servers that may own a slice.
+    known_servers: BTreeSet<ServerName>,
 }
 
 impl Keeper {
-    /// `writes` tells for each method whether it writes.
+    /// Creates a publisher without slices. `writes` tells for each method whether it writes.
     pub fn new(slices: usize, writes: Vec<bool>, tries: u8) -> Self {
         Keeper {
             slices,
             writes,
             tries,
             number: 0,
-            wanted: TableSet::new(),
+            desired: TableSet::new(),
             published: TableSet::new(),
             pending: BTreeMap::new(),
-            tickets: 0,
-            known: BTreeSet::new(),
+            last_ticket: 0,
+            known_servers: BTreeSet::new(),
         }
     }
 
-    /// What proxies may be told.
+    /// The published tables: those that proxies may see.
     pub fn published(&self) -> &TableSet {
         &self.published
     }
 
+    /// The number of methods.
     pub fn methods(&self) -> usize {
         self.writes.len()
     }
 
-    /// A server that a list or the store has named: only such may own a slice.
+    /// Adds a server that a list or the store has named. Only such servers may own a slice.
     pub fn know(&mut self, server: ServerName) {
-        self.known.insert(server);
+        self.known_servers.insert(server);
     }
 
-    /// Custody of a slice begins, with the owner that the store holds.
+    /// Begins custody of a slice, with the owner that the store holds.
     pub fn give(&mut self, slice: SliceId, epoch: u64, owner: Option<ServerName>) {
         self.number += 1;
         let version = Version { epoch, number: self.number };
-        self.known.extend(owner.clone());
+        self.known_servers.extend(owner.clone());
         let table = SliceTable { version, owner, shares: vec![1.0; self.writes.len()], tries: self.tries };
-        self.wanted.insert(slice, table.clone());
+        self.desired.insert(slice, table.clone());
         self.published.insert(slice, table);
         self.pending.remove(&slice);
     }
 
-    /// Custody of a slice ends; its table is no longer ours to tell.
+    /// Ends custody of a slice. Its table is no longer published here.
     pub fn take(&mut self, slice: SliceId) {
-        self.wanted.remove(&slice);
+        self.desired.remove(&slice);
         self.published.remove(&slice);
         self.pending.remove(&slice);
     }
 
-    /// Takes one batch. `name` gives the server of an endpoint's index. Orders for slices that are not ours are
-    /// passed over: custody may have ended while they were decided.
-    pub fn apply(&mut self, orders: &[Order], name: impl Fn(usize) -> Option<ServerName>) -> Changed {
-        let mut changed = Changed::default();
+    /// Applies one batch of orders. `name` maps an endpoint's index to its server. Orders for slices without custody
+    /// are ignored: custody may have ended while they were decided.
+    pub fn apply(&mut self, orders: &[Order], name: impl Fn(usize) -> Option<ServerName>) -> BatchOutcome {
+        let mut outcome = BatchOutcome::default();
         self.number += 1;
         for order in orders {
             match order {
                 Order::Grant { slice, ep } => {
-                    let (Some(table), Some(owner)) = (self.wanted.get_mut(slice), name(ep.index)) else {
+                    let (Some(table), Some(owner)) = (self.desired.get_mut(slice), name(ep.index)) else {
                         continue;
                     };
                     table.owner = Some(owner.clone());
-                    self.tickets += 1;
-                    self.pending.insert(*slice, self.tickets);
-                    let (epoch, ticket) = (table.version.epoch, self.tickets);
-                    changed.grants.push(PendingGrant { slice: *slice, epoch, owner, ticket });
+                    self.last_ticket += 1;
+                    self.pending.insert(*slice, self.last_ticket);
+                    let (epoch, ticket) = (table.version.epoch, self.last_ticket);
+                    outcome.grants.push(PendingGrant { slice: *slice, epoch, owner, ticket });
                 }
                 Order::Revoke { slice, .. } => {
-                    let Some(table) = self.wanted.get_mut(slice) else { continue };
+                    let Some(table) = self.desired.get_mut(slice) else { continue };
                     table.owner = None;
-                    // An end needs no store; it also ends a grant that nobody was told of.
+                    // A revocation need not be stored. It also cancels a grant that is not published yet.
                     self.pending.remove(slice);
-                    changed.slices.insert(*slice);
-                    changed.safety = true;
+                    outcome.slices.insert(*slice);
+                    outcome.safety = true;
                 }
                 Order::Level { slice, share, methods, tries } => {
-                    let Some(table) = self.wanted.get_mut(slice) else { continue };
-                    changed.safety |= set_shares(table, *share, *methods, &self.writes);
+                    let Some(table) = self.desired.get_mut(slice) else { continue };
+                    outcome.safety |= set_shares(table, *share, *methods, &self.writes);
                     table.tries = *tries;
-                    changed.slices.insert(*slice);
+                    outcome.slices.insert(*slice);
                 }
                 Order::Mark { .. } | Order::Watch | Order::Fetch | Order::Probe { .. } => {}
                 Order::Wake { .. } | Order::Log { .. } => {}
             }
         }
-        changed.grants.retain(|grant| self.pending.get(&grant.slice) == Some(&grant.ticket));
-        let free: Vec<SliceId> =
-            changed.slices.iter().copied().filter(|slice| !self.pending.contains_key(slice)).collect();
-        changed.slices.clear();
-        self.publish(&free, &mut changed);
-        changed
+        outcome.grants.retain(|grant| self.pending.get(&grant.slice) == Some(&grant.ticket));
+        let publishable: Vec<SliceId> =
+            outcome.slices.iter().copied().filter(|slice| !self.pending.contains_key(slice)).collect();
+        outcome.slices.clear();
+        self.publish(&publishable, &mut outcome);
+        outcome
     }
 
-    /// The store holds a grant: its slice may be told. An answer for an older grant of the slice changes nothing.
-    pub fn granted(&mut self, grant: &PendingGrant) -> Changed {
-        let mut changed = Changed::default();
+    /// Publishes the slice of a grant that is now stored. If the slice has a newer grant, nothing changes.
+    pub fn granted(&mut self, grant: &PendingGrant) -> BatchOutcome {
+        let mut outcome = BatchOutcome::default();
         if self.pending.get(&grant.slice) == Some(&grant.ticket) {
             self.pending.remove(&grant.slice);
             self.number += 1;
-            self.publish(&[grant.slice], &mut changed);
+            self.publish(&[grant.slice], &mut outcome);
         }
-        changed
+        outcome
     }
 
-    /// Slices whose grant waits for the store.
+    /// The number of slices whose grant is not stored yet.
     pub fn waiting(&self) -> usize {
         self.pending.len()
     }
 
-    fn publish(&mut self, slices: &[SliceId], changed: &mut Changed) {
+    /// Publishes the desired tables of `slices` as a new version, all of them or, if they break a rule, none.
+    fn publish(&mut self, slices: &[SliceId], outcome: &mut BatchOutcome) {
         let mut next = TableSet::new();
         for slice in slices {
-            let Some(table) = self.wanted.get_mut(slice) else { continue };
+            let Some(table) = self.desired.get_mut(slice) else { continue };
             table.version.number = self.number;
             next.insert(*slice, table.clone());
         }
-        let known = |server: &str| self.known.contains(server);
-        changed.faults = check(&self.published, &next, self.slices, &self.writes, known);
-        if changed.faults.is_empty() {
-            changed.slices.extend(next.keys());
+        let known = |server: &str| self.known_servers.contains(server);
+        outcome.faults = find_violations(&self.published, &next, self.slices, &self.writes, known);
+        if outcome.faults.is_empty() {
+            outcome.slices.extend(next.keys());
             self.published.append(&mut next);
         }
     }
 }
 
-/// True if a writing method is stopped by it.
+/// Sets the share of the methods in the mask; an empty mask stands for all methods. Returns true if this stops a
+/// method that writes.
 fn set_shares(table: &mut SliceTable, share: f64, methods: MethodMask, writes: &[bool]) -> bool {
     let mut stopped = false;
-    for (method, told) in table.shares.iter_mut().enumerate() {
+    for (method, current) in table.shares.iter_mut().enumerate() {
         if methods == 0 || methods & (1 << method) != 0 {
-            *told = share;
+            *current = share;
             stopped |= share == 0.0 && writes.get(method).copied().unwrap_or(true);
         }
     }
--- a/crates/whinhill-tables/src/keeper/tests.rs
+++ b/crates/whinhill-tables/src/keeper/tests.rs
@@ -18,68 +18,72 @@
     keeper
 }
 
-fn stop() -> Order {
+fn stop_writes() -> Order {
     Order::Level { slice: 1, share: 0.0, methods: 2, tries: 0 }
 }
 
-fn open() -> Order {
+fn open_writes() -> Order {
     Order::Level { slice: 1, share: 1.0, methods: 2, tries: 0 }
 }
 
 #[test]
-fn a_grant_is_told_with_its_levels_and_only_once_the_store_holds_it() {
+fn grant_is_published_with_its_levels_once_it_is_stored() {
     let mut keeper = keeper();
-    assert!(keeper.apply(&[stop()], server).safety);
-    let changed = keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }, open()], server);
-    assert!(changed.slices.is_empty());
+    assert!(keeper.apply(&[stop_writes()], server).safety);
+    let outcome = keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }, open_writes()], server);
+    assert!(outcome.slices.is_empty());
     assert_eq!((keeper.published()[&1].owner.clone(), keeper.published()[&1].shares[1]), (server(0), 0.0));
-    let changed = keeper.granted(&changed.grants[0]);
-    assert!(changed.slices.contains(&1));
+    let outcome = keeper.granted(&outcome.grants[0]);
+    assert!(outcome.slices.contains(&1));
     assert_eq!((keeper.published()[&1].owner.clone(), keeper.published()[&1].shares[1]), (server(2), 1.0));
 }
 
 #[test]
-fn what_follows_an_unstored_grant_leaves_with_it() {
+fn orders_after_an_unstored_grant_are_published_with_it() {
     let mut keeper = keeper();
-    keeper.apply(&[stop()], server);
-    let first = keeper.apply(&[Order::Grant { slice: 1, ep: ep(1) }, open()], server).grants.remove(0);
-    // The next move begins before the store has answered: the grant leaves with its writes stopped.
-    assert!(keeper.apply(&[stop()], server).slices.is_empty());
+    keeper.apply(&[stop_writes()], server);
+    let first = keeper.apply(&[Order::Grant { slice: 1, ep: ep(1) }, open_writes()], server).grants.remove(0);
+    // The next move begins before the grant is stored, so the grant is published with its writes stopped.
+    assert!(keeper.apply(&[stop_writes()], server).slices.is_empty());
     keeper.granted(&first);
     assert_eq!((keeper.published()[&1].owner.clone(), keeper.published()[&1].shares[1]), (server(1), 0.0));
-    let second = keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }, open()], server).grants.remove(0);
-    assert_eq!(keeper.granted(&first), Changed::default());
+    let second =
+        keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }, open_writes()], server).grants.remove(0);
+    assert_eq!(keeper.granted(&first), BatchOutcome::default());
     assert!(keeper.granted(&second).faults.is_empty());
 }
 
 #[test]
-fn an_owner_is_not_replaced_while_it_takes_writes() {
+fn owner_is_not_replaced_while_it_accepts_writes() {
     let mut keeper = keeper();
     let grant = keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }], server).grants.remove(0);
-    let changed = keeper.granted(&grant);
-    assert!(matches!(&changed.faults[..], [Fault::OwnerSkipped { slice: 1, .. }]), "{changed:?}");
+    let outcome = keeper.granted(&grant);
+    assert!(
+        matches!(&outcome.faults[..], [Violation::OwnerChangedWhileWritable { slice: 1, .. }]),
+        "{outcome:?}"
+    );
     assert_eq!(keeper.published()[&1].owner, server(0));
 }
 
 #[test]
-fn every_fault_of_a_set_is_named() {
+fn every_violation_of_a_set_is_reported() {
     let last = keeper().published().clone();
     let mut next = last.clone();
     let table = next.get_mut(&1).unwrap();
     (table.version.number, table.shares[0]) = (0, f64::NAN);
     next.insert(9, SliceTable { owner: Some("nobody:1".into()), shares: vec![], ..last[&1].clone() });
-    let faults = check(&last, &next, 4, &WRITES, |name| name.starts_with("10."));
-    let text: Vec<String> = faults.iter().map(Fault::to_string).collect();
-    assert_eq!(faults.len(), 5, "{text:?}");
+    let violations = find_violations(&last, &next, 4, &WRITES, |name| name.starts_with("10."));
+    let text: Vec<String> = violations.iter().map(Violation::to_string).collect();
+    assert_eq!(violations.len(), 5, "{text:?}");
 }
 
 #[test]
-fn a_lost_slice_takes_no_orders_and_answers_no_grant() {
+fn slice_without_custody_ignores_orders_and_stored_grants() {
     let mut keeper = keeper();
-    keeper.apply(&[stop()], server);
+    keeper.apply(&[stop_writes()], server);
     let grant = keeper.apply(&[Order::Grant { slice: 1, ep: ep(1) }], server).grants.remove(0);
     keeper.take(1);
-    assert_eq!(keeper.granted(&grant), Changed::default());
-    assert_eq!(keeper.apply(&[stop()], server).slices.len(), 0);
+    assert_eq!(keeper.granted(&grant), BatchOutcome::default());
+    assert_eq!(keeper.apply(&[stop_writes()], server).slices.len(), 0);
     assert!(keeper.published().is_empty());
 }
--- a/crates/whinhill-tables/src/lib.rs
+++ b/crates/whinhill-tables/src/lib.rs
@@ -1,7 +1,8 @@
-//! What is published: each slice's table, in versions. No I/O and no clock.
+//! The tables that an assigner publishes: one for each slice, in versions. No I/O and no clock.
 //!
-//! A [`Keeper`] takes the module's orders and says which slices changed, and which grants the store must hold
-//! before they may be told to anyone.
+//! A [`Keeper`] turns the module's orders into tables. It returns which published tables changed, and which grants
+//! must be stored before they may be published. A [`History`] keeps the versions, and [`rollback`] leads back to an
+//! older one.
 
 mod check;
 mod delta;
@@ -11,9 +12,9 @@
 pub mod rollback;
 mod table;
 
-pub use check::{check, Fault};
+pub use check::{find_violations, Violation};
 pub use delta::{Changes, Delta, DeltaError, Held, SetId};
 pub use hash::set_hash;
 pub use history::{differing, Author, Entry, History, Limits, Page, RestoreError};
-pub use keeper::{Changed, Keeper, PendingGrant};
+pub use keeper::{BatchOutcome, Keeper, PendingGrant};
 pub use table::{ServerName, SliceTable, TableSet, Version, VersionError};
--- a/crates/whinhill-tables/src/table.rs
+++ b/crates/whinhill-tables/src/table.rs
@@ -8,18 +8,21 @@
 use serde::{Deserialize, Serialize};
 use whinhill::interface::SliceId;
 
-/// A server's name: its address and port, the same at every assigner.
+/// A server's name: its address and port. The same at every assigner.
 pub type ServerName = Arc<str>;
 
-/// An epoch of custody and a number that only grows within it. An older one never replaces a newer one.
+/// The version of a table. An older version never replaces a newer one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
+    /// The epoch of the slice's custody.
     pub epoch: u64,
+    /// Only grows within an epoch.
     pub number: u64,
 }
 
+/// A text that is not a [`Version`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no version; epoch.number was expected")]
+#[error("{0:?} is not a version; expected epoch.number")]
 pub struct VersionError(pub String);
 
 impl fmt::Display for Version {
@@ -44,17 +47,18 @@
     }
 }
 
-/// What a proxy is told of a slice.
+/// The table of one slice, as published to proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceTable {
+    /// The version of this table.
     pub version: Version,
-    /// `None`: nobody serves it now; RPCs wait for the hold.
+    /// The server that owns the slice. `None`: no server serves it now, and proxies hold its RPCs for the hold time.
     pub owner: Option<ServerName>,
-    /// The share of each method that is let in, 0 to 1.
+    /// The fraction of each method's RPCs that is admitted, 0 to 1.
     pub shares: Vec<f64>,
-    /// The way of trying again, as the settings count it.
+    /// The retry policy, numbered as in the setting `tries`.
     pub tries: u8,
 }
 
-/// All slices that one assigner is in charge of.
+/// The tables of all slices that one assigner has custody of.
 pub type TableSet = BTreeMap<SliceId, SliceTable>;
