--- a/crates/whinhill-tables/src/history.rs
+++ b/crates/whinhill-tables/src/history.rs
@@ -1,8 +1,9 @@
-//! Every set that was published, one after the other, with who changed it, when and why. No I/O.
+//! The history of published table sets: who changed them, when and why. No I/O.
 //!
-//! Kept are the newest set whole and, for each version, what led to it and what would lead back. So any kept set
-//! can be rebuilt, and an old one costs only what it changed. Old versions go when there are too many or they are
-//! too old; those marked good stay reachable, folded into their neighbours' changes.
+//! The history holds the newest set whole and, for each version, the former tables of the slices that it changed. So
+//! any kept set can be rebuilt, and an old version costs only what it changed. Old versions are compacted when there
+//! are too many of them or they are too old: their changes are merged into the next version's. Versions marked good
+//! are never compacted.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -17,29 +18,32 @@
 /// Who made a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Author {
+    /// The module, by its orders.
     Module,
+    /// An operator, by name.
     Operator(String),
-    /// A rollback to the set of that number, asked for by an operator.
-    Rollback {
-        to: u64,
-        by: String,
-    },
-    /// An assigner that returned and took up what it found.
+    /// A rollback to set number `to`, requested by the operator `by`.
+    Rollback { to: u64, by: String },
+    /// An assigner that restarted and continues from the set that it found.
     Recovery,
 }
 
-/// One version's entry.
+/// The history's entry of one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
+    /// The id of the set that resulted.
     pub id: SetId,
+    /// Who made the version.
     pub author: Author,
-    /// On the assigner's clock, and by the wall for those who read it.
+    /// The time of the change on the assigner's clock.
     pub at: Duration,
+    /// The time of the change by the wall clock, for readers.
     pub unix_ms: u64,
-    /// The module's log line, or the operator's words.
+    /// The reason: the module's log line, or the operator's words.
     pub cause: String,
+    /// Whether an operator marked the version as good.
     pub good: bool,
-    /// What each changed slice was before; `None`: it was not there.
+    /// The former table of each changed slice; `None`: the slice was absent.
     before: BTreeMap<SliceId, Option<SliceTable>>,
 }
 
@@ -49,52 +53,61 @@
         self.before.keys().copied()
     }
 
-    /// What it takes to keep it, about, in bytes.
-    fn size(&self) -> usize {
-        let table = |table: &Option<SliceTable>| {
+    /// The estimated size of the entry in bytes.
+    fn estimated_size(&self) -> usize {
+        let table_size = |table: &Option<SliceTable>| {
             table
                 .as_ref()
                 .map_or(0, |t| t.owner.as_ref().map_or(0, |owner| owner.len()) + 8 * t.shares.len() + 32)
         };
-        96 + self.cause.len() + self.before.values().map(|before| 16 + table(before)).sum::<usize>()
+        96 + self.cause.len() + self.before.values().map(|before| 16 + table_size(before)).sum::<usize>()
     }
 }
 
-/// What is kept.
+/// The limits beyond which old versions are compacted.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// The maximum number of versions.
     pub entries: usize,
+    /// The maximum estimated size of all entries.
     pub bytes: usize,
+    /// The maximum age of a version.
     pub age: Duration,
 }
 
+/// The newest table set and the versions that led to it.
 #[derive(Debug)]
 pub struct History {
     limits: Limits,
     current: Held,
+    /// Oldest first.
     entries: VecDeque<Entry>,
+    /// The estimated size of all entries.
     bytes: usize,
-    /// Versions that were let go.
+    /// The number of versions compacted so far.
     compacted: u64,
-    /// Versions let go, rewritten or marked since the last [`History::take_touched`].
-    touched: BTreeSet<u64>,
+    /// Versions added, compacted, rewritten or marked good since the last [`History::take_changed_entries`].
+    changed_entries: BTreeSet<u64>,
 }
 
-/// What a file must take to hold the newest version: several may be folded into one.
+/// What must be written to a history file so that it holds the newest version. Several updates can be merged into one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
+    /// New and changed tables.
     pub changed: TableSet,
+    /// Slices that the newest set lacks.
     pub removed: BTreeSet<SliceId>,
     /// The newest version's number.
     pub number: u64,
-    /// Entries as they are now; `None`: let go.
+    /// Added and changed entries by version number; `None`: compacted.
     pub touched: BTreeMap<u64, Option<Entry>>,
-    /// Rollbacks that are under way; `None`: finished.
+    /// Rollbacks in progress by id; `None`: finished.
     pub rollbacks: BTreeMap<u64, Option<Rollback>>,
 }
 
 impl Page {
-    /// Takes a later page in. What the two hold together is bounded by the slices and the history's limits.
+    /// Merges a later update into this one. The size of the result is bounded by the number of slices and the
+    /// history's limits.
     pub fn fold(&mut self, later: Page) {
         self.removed.retain(|slice| !later.changed.contains_key(slice));
         self.changed.retain(|slice, _| !later.removed.contains(slice));
@@ -106,20 +119,22 @@
     }
 }
 
-/// Why a history that was kept somewhere can't be taken up.
+/// Why a stored history can't be restored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    #[error("version {0} stands before or beside the one that it follows")]
-    Order(u64),
-    #[error("the set says {found}, its newest version {wanted}")]
-    Newest { found: SetId, wanted: SetId },
+    /// The version numbers do not ascend.
+    #[error("version {0} does not have a greater number than the version before it")]
+    NotAscending(u64),
+    /// The newest entry is not that of the current set.
+    #[error("the current set is {found}, but the newest version is {wanted}")]
+    CurrentMismatch { found: SetId, wanted: SetId },
 }
 
-/// The words of a cause are cut to this many characters.
-const CAUSE_MOST: usize = 300;
+/// Longer causes are truncated to this many characters.
+const MAX_CAUSE_CHARS: usize = 300;
 
 impl History {
-    /// Begins with a set that was found, as version `number`.
+    /// Starts a history with `set` as version `number`.
     pub fn new(limits: Limits, number: u64, set: TableSet) -> Self {
         let current = Held::new(number, set);
         History {
@@ -128,34 +143,34 @@
             entries: VecDeque::new(),
             bytes: 0,
             compacted: 0,
-            touched: BTreeSet::new(),
+            changed_entries: BTreeSet::new(),
         }
     }
 
-    /// Takes up what was kept: the newest set, and the versions that led to it, oldest first.
+    /// Restores a history from the newest set and the entries that led to it, oldest first.
     pub fn restore(limits: Limits, current: Held, entries: Vec<Entry>) -> Result<Self, RestoreError> {
         let numbers = entries.windows(2).find(|pair| pair[0].id.number >= pair[1].id.number);
         if let Some(pair) = numbers {
-            return Err(RestoreError::Order(pair[1].id.number));
+            return Err(RestoreError::NotAscending(pair[1].id.number));
         }
         if let Some(newest) = entries.last().filter(|newest| newest.id != current.id()) {
-            return Err(RestoreError::Newest { found: current.id(), wanted: newest.id });
+            return Err(RestoreError::CurrentMismatch { found: current.id(), wanted: newest.id });
         }
-        let bytes = entries.iter().map(Entry::size).sum();
-        let (entries, touched) = (entries.into(), BTreeSet::new());
-        Ok(History { limits, current, entries, bytes, compacted: 0, touched })
+        let bytes = entries.iter().map(Entry::estimated_size).sum();
+        let (entries, changed_entries) = (entries.into(), BTreeSet::new());
+        Ok(History { limits, current, entries, bytes, compacted: 0, changed_entries })
     }
 
-    /// The versions whose entries are others than they were at the last call; `None` for one that was let go.
-    pub fn take_touched(&mut self) -> Vec<(u64, Option<Entry>)> {
-        let touched = std::mem::take(&mut self.touched);
+    /// Returns the entries that were added or changed since the last call; `None` for a compacted one.
+    pub fn take_changed_entries(&mut self) -> Vec<(u64, Option<Entry>)> {
+        let changed_entries = std::mem::take(&mut self.changed_entries);
         let entry = |number: u64| self.entries.iter().find(|entry| entry.id.number == number).cloned();
-        touched.into_iter().map(|number| (number, entry(number))).collect()
+        changed_entries.into_iter().map(|number| (number, entry(number))).collect()
     }
 
-    /// What is to be kept of the newest version beside its delta.
+    /// The update that persists `delta` and the entries changed since the last update.
     pub fn page(&mut self, delta: Delta) -> Page {
-        let touched = self.take_touched().into_iter().collect();
+        let touched = self.take_changed_entries().into_iter().collect();
         Page {
             changed: delta.changed,
             removed: delta.removed,
@@ -165,12 +180,13 @@
         }
     }
 
-    /// The same of marks alone.
+    /// The update that persists the changed entries alone.
     pub fn marks(&mut self) -> Page {
         let id = self.current.id();
         self.page(Delta { from: id, to: id, ..Delta::default() })
     }
 
+    /// The newest set.
     pub fn current(&self) -> &Held {
         &self.current
     }
@@ -180,15 +196,17 @@
         self.entries.iter()
     }
 
+    /// The estimated size of all entries.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// The number of versions compacted so far.
     pub fn compacted(&self) -> u64 {
         self.compacted
     }
 
-    /// Takes a new set; one that says the same makes no version. Returns what leads to it.
+    /// Records a new set. Returns the delta to it, or `None` if it is equal, which makes no version.
     pub fn record(
         &mut self,
         set: TableSet,
@@ -197,13 +215,13 @@
         at: Duration,
         unix_ms: u64,
     ) -> Option<Delta> {
-        let gone = self.current.set().keys().filter(|slice| !set.contains_key(slice));
-        let mut changes: Changes = gone.map(|slice| (*slice, None)).collect();
+        let removed = self.current.set().keys().filter(|slice| !set.contains_key(slice));
+        let mut changes: Changes = removed.map(|slice| (*slice, None)).collect();
         changes.extend(set.into_iter().map(|(slice, table)| (slice, Some(table))));
         self.advance(changes, author, cause, at, unix_ms)
     }
 
-    /// Takes the slices that have changed; what says the same makes no version. Returns what leads to it.
+    /// Records changed slices. Returns the delta, or `None` if nothing differs, which makes no version.
     pub fn advance(
         &mut self,
         changes: Changes,
@@ -216,43 +234,43 @@
         if before.is_empty() {
             return None;
         }
-        let cause = cause.chars().take(CAUSE_MOST).collect();
+        let cause = cause.chars().take(MAX_CAUSE_CHARS).collect();
         let entry = Entry { id: delta.to, author, at, unix_ms, cause, good: false, before };
-        self.bytes += entry.size();
-        self.touched.insert(entry.id.number);
+        self.bytes += entry.estimated_size();
+        self.changed_entries.insert(entry.id.number);
         self.entries.push_back(entry);
         self.compact(at);
         Some(delta)
     }
 
-    /// Marks a version as good: it stays reachable. False if it is not kept.
+    /// Marks a version as good, so that it is never compacted. Returns false if the version is not kept.
     pub fn pin_good(&mut self, number: u64) -> bool {
         let entry = self.entries.iter_mut().find(|entry| entry.id.number == number);
         let Some(entry) = entry else { return false };
         entry.good = true;
-        self.touched.insert(number);
+        self.changed_entries.insert(number);
         true
     }
 
-    /// The newest version marked good, before the current one.
+    /// The newest version marked good, other than the current one.
     pub fn last_good(&self) -> Option<u64> {
         let older = self.entries.iter().rev().filter(|entry| entry.id != self.current.id());
         older.filter(|entry| entry.good).map(|entry| entry.id.number).next()
     }
 
-    /// The newest version that stood at a time by the wall.
+    /// The version that was the newest at a wall clock time.
     pub fn at(&self, unix_ms: u64) -> Option<u64> {
         self.entries.iter().rev().find(|entry| entry.unix_ms <= unix_ms).map(|entry| entry.id.number)
     }
 
-    /// A kept set, rebuilt by going back from the newest one.
+    /// Rebuilds a kept set by undoing the changes of all later versions.
     pub fn rebuild(&self, number: u64) -> Option<Held> {
         if number == self.current.id().number {
             return Some(self.current.clone());
         }
-        let place = self.entries.iter().position(|entry| entry.id.number == number)?;
+        let index = self.entries.iter().position(|entry| entry.id.number == number)?;
         let mut set = self.current.set().clone();
-        for entry in self.entries.iter().skip(place + 1).rev() {
+        for entry in self.entries.iter().skip(index + 1).rev() {
             for (slice, before) in &entry.before {
                 match before {
                     Some(table) => drop(set.insert(*slice, table.clone())),
@@ -263,39 +281,40 @@
         Some(Held::new(number, set))
     }
 
-    /// What leads from one kept version to another; `None` if one of them is not kept: then only a full set helps.
+    /// The delta between two kept versions; `None` if one of them is not kept, so that the full set is needed.
     pub fn delta(&self, from: SetId, to: u64) -> Option<Delta> {
         let base = self.rebuild(from.number).filter(|base| base.id() == from)?;
         Some(base.delta(&self.rebuild(to)?))
     }
 
-    /// Lets the oldest versions go that are over a limit. One that is marked good, and the newest, stay.
+    /// Compacts the oldest versions while a limit is exceeded. The newest version and those marked good stay.
     fn compact(&mut self, now: Duration) {
         loop {
-            let over = self.entries.len() > self.limits.entries || self.bytes > self.limits.bytes;
-            let last = self.entries.len().saturating_sub(1);
-            let old = |entry: &Entry| over || now > entry.at + self.limits.age;
-            let place = self.entries.iter().take(last).position(|entry| !entry.good && old(entry));
-            let Some(place) = place else { return };
-            let Some(gone) = self.entries.remove(place) else { return };
+            let over_limit = self.entries.len() > self.limits.entries || self.bytes > self.limits.bytes;
+            let removable = self.entries.len().saturating_sub(1);
+            let expendable = |entry: &Entry| over_limit || now > entry.at + self.limits.age;
+            let index =
+                self.entries.iter().take(removable).position(|entry| !entry.good && expendable(entry));
+            let Some(index) = index else { return };
+            let Some(removed) = self.entries.remove(index) else { return };
             self.compacted += 1;
-            self.touched.insert(gone.id.number);
-            self.bytes = self.bytes.saturating_sub(gone.size());
-            // Its successor must now lead back over both: what was before the older change counts. The oldest kept
-            // version leads back to nothing that is kept.
-            if place > 0 {
-                if let Some(next) = self.entries.get_mut(place) {
-                    self.bytes = self.bytes.saturating_sub(next.size());
-                    next.before.extend(gone.before);
-                    self.bytes += next.size();
-                    self.touched.insert(next.id.number);
+            self.changed_entries.insert(removed.id.number);
+            self.bytes = self.bytes.saturating_sub(removed.estimated_size());
+            // The next entry must now undo both changes, so the former tables of the older change replace its own.
+            // The first entry undoes to no kept version, so it needs no merge.
+            if index > 0 {
+                if let Some(next) = self.entries.get_mut(index) {
+                    self.bytes = self.bytes.saturating_sub(next.estimated_size());
+                    next.before.extend(removed.before);
+                    self.bytes += next.estimated_size();
+                    self.changed_entries.insert(next.id.number);
                 }
             }
         }
     }
 }
 
-/// The slices in which two sets differ, for a person to read.
+/// The slices in which two sets differ.
 pub fn differing(a: &TableSet, b: &TableSet) -> BTreeSet<SliceId> {
     let slices: BTreeSet<SliceId> = a.keys().chain(b.keys()).copied().collect();
     slices.into_iter().filter(|slice| a.get(slice) != b.get(slice)).collect()
