--- a/crates/whinhill-tables/src/rollback.rs
+++ b/crates/whinhill-tables/src/rollback.rs
@@ -1,10 +1,10 @@
-//! The way back to an older set, without ever handing a slice to a former owner behind a later one. No I/O.
+//! Rollback to an older set, without ever giving a slice back to a former owner past a later one. No I/O.
 //!
-//! A rollback publishes nothing by itself. Owners change only by the module's handover (stop, every answer or
-//! lease end, settle, grant), so each slice that should be elsewhere becomes a *wish*, which the module carries
-//! out within its room, cold budgets and channel. Levels may be tightened at once, since letting in less is safe
-//! at any owner; opening them is left to the module, which knows what the owner can take now. What results is
-//! always a new version with old content.
+//! A rollback publishes nothing by itself. Owners change only by the module's handover (stop writes, wait for every
+//! proxy's answer or the end of its lease, settle, grant). So for each slice with another owner a *move* is requested,
+//! which the module performs within the spare capacity, the budgets of cold servers and the channel's rate. Levels may
+//! be lowered at once, since admitting less is safe at any owner. Raising them is left to the module, which knows what
+//! the owner can take now. The result is always a new version with old content.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,59 +15,58 @@
 
 use crate::table::{ServerName, TableSet};
 
-/// How a server stands, as far as the assigner knows.
+/// The state of a server, as far as the assigner knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
+    /// It can take slices.
     Ready,
+    /// It is warming up and receives slices bit by bit.
     Cold,
+    /// It is unhealthy.
     Sick,
+    /// It is draining.
     Draining,
+    /// It has left.
     Gone,
     /// No list has named it.
     Unknown,
 }
 
 impl Standing {
-    /// Whether waiting may help.
-    fn may_pass(self) -> bool {
+    /// Whether the server may become ready later.
+    fn is_transient(self) -> bool {
         matches!(self, Standing::Cold | Standing::Sick)
     }
 }
 
-/// Why a slice does not go back, or not now.
+/// Why a slice is not rolled back, or not now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// Custody of it is not ours; whoever is in charge must be asked.
+    /// This assigner does not have custody of the slice; the one that has must be asked.
     NotOurs,
-    /// It was not ours then, or had no owner.
+    /// In the older set the slice is absent or has no owner.
     NoOwnerThen,
-    Server {
-        server: ServerName,
-        standing: Standing,
-    },
-    /// A handover is under way: it ends first, and then the wish is looked at again.
+    /// The server can't take the slice.
+    Server { server: ServerName, standing: Standing },
+    /// A handover of the slice is in progress. The move is considered again when it has ended.
     HandoverUnderWay,
-    /// Custody ended while the rollback was under way.
+    /// Custody of the slice ended during the rollback.
     CustodyLost,
-    /// A later rollback wants the slice elsewhere.
-    Superseded {
-        by: u64,
-    },
-    /// The module found no room for it in this time.
-    NoRoom {
-        within: Duration,
-    },
+    /// A later rollback includes the slice.
+    Superseded { by: u64 },
+    /// The module found no spare capacity for the slice in this time.
+    NoRoom { within: Duration },
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::NotOurs => write!(f, "another assigner is in charge of it"),
-            Reason::NoOwnerThen => write!(f, "it had no owner in that set"),
+            Reason::NotOurs => write!(f, "another assigner has custody of the slice"),
+            Reason::NoOwnerThen => write!(f, "the slice had no owner in that set"),
             Reason::Server { server, standing } => {
                 let what = match standing {
                     Standing::Ready => "ready",
-                    Standing::Cold => "cold: it gets slices as it warms",
+                    Standing::Cold => "cold: it receives slices as it warms up",
                     Standing::Sick => "sick",
                     Standing::Draining => "draining",
                     Standing::Gone => "gone",
@@ -75,37 +74,37 @@
                 };
                 write!(f, "server {server} is {what}")
             }
-            Reason::HandoverUnderWay => write!(f, "a handover is under way"),
-            Reason::CustodyLost => write!(f, "custody of it ended"),
-            Reason::Superseded { by } => write!(f, "rollback {by} came after"),
-            Reason::NoRoom { within } => write!(f, "no room was found within {within:?}"),
+            Reason::HandoverUnderWay => write!(f, "a handover is in progress"),
+            Reason::CustodyLost => write!(f, "custody of the slice ended"),
+            Reason::Superseded { by } => write!(f, "superseded by rollback {by}"),
+            Reason::NoRoom { within } => write!(f, "no spare capacity was found within {within:?}"),
         }
     }
 }
 
-/// What a rollback would do to a slice: the dry run.
+/// The planned action of a rollback for one slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Its owner is the wanted one.
+    /// Nothing to do: the slice has the wanted owner.
     Stands,
-    Move {
-        to: ServerName,
-    },
-    PutOff {
-        to: ServerName,
-        why: Reason,
-    },
+    /// The slice moves to `to`.
+    Move { to: ServerName },
+    /// The slice moves to `to` later.
+    PutOff { to: ServerName, why: Reason },
+    /// The slice is not rolled back.
     Refused(Reason),
 }
 
-/// What is known of the fleet when a rollback is looked at.
+/// What the assigner knows of servers and handovers when a rollback is evaluated.
 pub trait Fleet {
+    /// The state of a server.
     fn standing(&self, server: &str) -> Standing;
-    /// Whether a handover of the slice is under way.
+    /// Whether a handover of the slice is in progress.
     fn moving(&self, slice: SliceId) -> bool;
 }
 
-/// The dry run: what would move, what would wait, what can't be, for the slices named or all of the old set.
+/// Plans a rollback from the set `now` to the set `old`: for each of the given slices, or by default for all slices of
+/// both sets, the action that it would take.
 pub fn dry_run(
     old: &TableSet,
     now: &TableSet,
@@ -114,16 +113,17 @@
 ) -> BTreeMap<SliceId, Verdict> {
     let all: BTreeSet<SliceId> =
         slices.cloned().unwrap_or_else(|| old.keys().chain(now.keys()).copied().collect());
-    all.into_iter().map(|slice| (slice, verdict(slice, old, now, fleet))).collect()
+    all.into_iter().map(|slice| (slice, plan_slice(slice, old, now, fleet))).collect()
 }
 
-fn verdict(slice: SliceId, old: &TableSet, now: &TableSet, fleet: &impl Fleet) -> Verdict {
+/// Plans the action for one slice.
+fn plan_slice(slice: SliceId, old: &TableSet, now: &TableSet, fleet: &impl Fleet) -> Verdict {
     let Some(table) = now.get(&slice) else { return Verdict::Refused(Reason::NotOurs) };
     let Some(to) = old.get(&slice).and_then(|table| table.owner.clone()) else {
         return Verdict::Refused(Reason::NoOwnerThen);
     };
     let standing = fleet.standing(&to);
-    if standing != Standing::Ready && !standing.may_pass() {
+    if standing != Standing::Ready && !standing.is_transient() {
         return Verdict::Refused(Reason::Server { server: to, standing });
     }
     if fleet.moving(slice) {
@@ -138,7 +138,8 @@
     Verdict::Move { to }
 }
 
-/// The levels that may be told at once: for each slice whose owner stands, the lower of what is and what was.
+/// The levels that a rollback may lower at once: for each slice whose owner is the same in both sets, the lower one of
+/// the old and the current share of each method, if any is lower than now.
 pub fn tightened(
     old: &TableSet,
     now: &TableSet,
@@ -160,160 +161,183 @@
     levels
 }
 
-/// Where a wish stands.
+/// The state of the move of one slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Wish {
-    /// To be handed to the module as soon as nothing speaks against it.
-    Open {
-        to: ServerName,
-    },
-    /// The module has it.
-    Handed {
-        to: ServerName,
-    },
+enum MoveState {
+    /// To be requested from the module as soon as nothing prevents it.
+    Open { to: ServerName },
+    /// Requested from the module.
+    Handed { to: ServerName },
+    /// The slice has the wanted owner.
     Done,
+    /// The move was given up.
     Abandoned(Reason),
 }
 
-/// One rollback until every slice of it is done or abandoned. After a restart it is taken up from the same words:
-/// what is done shows in the set, what is not is handed to the module once more.
+/// A rollback in progress, until the move of every slice is done or abandoned. It is stored, and resumed after a
+/// restart: the set shows which moves are done, and the others are requested from the module again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollback {
+    /// Identifies the rollback; a later one has a greater id.
     pub id: u64,
-    /// The number of the set that it leads back to.
+    /// The number of the set to roll back to.
     pub to: u64,
+    /// The operator who requested it.
     pub by: String,
-    /// On the clock of the life in which it was asked for or taken up.
-    until: Duration,
-    within: Duration,
-    /// Taken up after a restart: custody of its slices comes back one by one.
-    recovered: bool,
-    wishes: BTreeMap<SliceId, Wish>,
+    /// When the moves that are not done are abandoned. On the assigner's clock since the start at which the rollback was
+    /// requested or resumed.
+    #[serde(rename = "until")]
+    expires_at: Duration,
+    /// The time limit that `expires_at` was computed from.
+    #[serde(rename = "within")]
+    time_limit: Duration,
+    /// Whether it was resumed after a restart: custody of its slices then returns one by one.
+    #[serde(rename = "recovered")]
+    resumed: bool,
+    #[serde(rename = "wishes")]
+    moves: BTreeMap<SliceId, MoveState>,
 }
 
-/// How much of a rollback has come about.
+/// The number of a rollback's moves in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
+    /// Moves not yet requested from the module.
     pub open: usize,
+    /// Moves requested from the module.
     pub handed: usize,
+    /// Moves that are done.
     pub done: usize,
+    /// Moves given up.
     pub abandoned: usize,
 }
 
 impl Rollback {
-    /// Takes a dry run for an order, at `now`; what is not done `within` that span is abandoned.
+    /// Starts the rollback that [`dry_run`] planned, at `now`. Moves that are not done `within` that time are abandoned.
     pub fn new(
         id: u64,
         to: u64,
         by: &str,
-        run: &BTreeMap<SliceId, Verdict>,
+        plan: &BTreeMap<SliceId, Verdict>,
         now: Duration,
         within: Duration,
     ) -> Self {
-        let wish = |verdict: &Verdict| match verdict.clone() {
-            Verdict::Stands => Wish::Done,
-            Verdict::Move { to } | Verdict::PutOff { to, .. } => Wish::Open { to },
-            Verdict::Refused(why) => Wish::Abandoned(why),
+        let state = |verdict: &Verdict| match verdict.clone() {
+            Verdict::Stands => MoveState::Done,
+            Verdict::Move { to } | Verdict::PutOff { to, .. } => MoveState::Open { to },
+            Verdict::Refused(why) => MoveState::Abandoned(why),
         };
-        let wishes = run.iter().map(|(slice, verdict)| (*slice, wish(verdict))).collect();
-        Rollback { id, to, by: by.to_string(), until: now + within, within, recovered: false, wishes }
+        let moves = plan.iter().map(|(slice, verdict)| (*slice, state(verdict))).collect();
+        Rollback {
+            id,
+            to,
+            by: by.to_string(),
+            expires_at: now + within,
+            time_limit: within,
+            resumed: false,
+            moves,
+        }
     }
 
-    /// Looks at what stands now. Returns the wishes to hand to the module: each once, until it has come about or
-    /// the module has let it go.
+    /// Evaluates all moves against the current set. Returns the moves to request from the module. Each is returned once,
+    /// and again only after [`Rollback::put_back`] or [`Rollback::recovered`].
     pub fn look(&mut self, now: Duration, set: &TableSet, fleet: &impl Fleet) -> Vec<(SliceId, ServerName)> {
-        let mut hand = Vec::new();
-        for (&slice, wish) in &mut self.wishes {
-            let to = match wish {
-                Wish::Open { to } | Wish::Handed { to } => to.clone(),
-                Wish::Done | Wish::Abandoned(_) => continue,
+        let mut requests = Vec::new();
+        for (&slice, state) in &mut self.moves {
+            let to = match state {
+                MoveState::Open { to } | MoveState::Handed { to } => to.clone(),
+                MoveState::Done | MoveState::Abandoned(_) => continue,
             };
             let standing = fleet.standing(&to);
             let Some(table) = set.get(&slice) else {
-                if self.recovered && now < self.until {
+                if self.resumed && now < self.expires_at {
                     continue;
                 }
-                *wish = Wish::Abandoned(Reason::CustodyLost);
+                *state = MoveState::Abandoned(Reason::CustodyLost);
                 continue;
             };
-            let moving = fleet.moving(slice);
-            if !moving && table.owner.as_ref() == Some(&to) {
-                *wish = Wish::Done;
-            } else if standing != Standing::Ready && !standing.may_pass() {
-                *wish = Wish::Abandoned(Reason::Server { server: to, standing });
-            } else if now >= self.until && !moving {
-                *wish = Wish::Abandoned(Reason::NoRoom { within: self.within });
-            } else if matches!(wish, Wish::Open { .. }) && !moving && standing == Standing::Ready {
-                *wish = Wish::Handed { to: to.clone() };
-                hand.push((slice, to));
+            let in_handover = fleet.moving(slice);
+            if !in_handover && table.owner.as_ref() == Some(&to) {
+                *state = MoveState::Done;
+            } else if standing != Standing::Ready && !standing.is_transient() {
+                *state = MoveState::Abandoned(Reason::Server { server: to, standing });
+            } else if now >= self.expires_at && !in_handover {
+                *state = MoveState::Abandoned(Reason::NoRoom { within: self.time_limit });
+            } else if matches!(state, MoveState::Open { .. }) && !in_handover && standing == Standing::Ready {
+                *state = MoveState::Handed { to: to.clone() };
+                requests.push((slice, to));
             }
         }
-        hand
+        requests
     }
 
-    /// Custody of a slice was ours in this life and has ended.
+    /// Abandons the move of a slice whose custody was acquired since the start and has ended.
     pub fn taken(&mut self, slice: SliceId) {
-        if let Some(wish @ (Wish::Open { .. } | Wish::Handed { .. })) = self.wishes.get_mut(&slice) {
-            *wish = Wish::Abandoned(Reason::CustodyLost);
+        if let Some(state @ (MoveState::Open { .. } | MoveState::Handed { .. })) = self.moves.get_mut(&slice)
+        {
+            *state = MoveState::Abandoned(Reason::CustodyLost);
         }
     }
 
-    /// Where the module was told that a slice should go.
+    /// The moves requested from the module: slices and their wanted owners.
     pub fn handed(&self) -> impl Iterator<Item = (SliceId, &ServerName)> {
-        self.wishes.iter().filter_map(|(slice, wish)| match wish {
-            Wish::Handed { to } => Some((*slice, to)),
+        self.moves.iter().filter_map(|(slice, state)| match state {
+            MoveState::Handed { to } => Some((*slice, to)),
             _ => None,
         })
     }
 
-    /// The module could not carry a wish out now: it is handed again at a later look.
+    /// Notes that the module dropped the requested move of a slice. It is requested again later.
     pub fn put_back(&mut self, slice: SliceId) {
-        if let Some(wish) = self.wishes.get_mut(&slice) {
-            if let Wish::Handed { to } = wish {
-                *wish = Wish::Open { to: to.clone() };
+        if let Some(state) = self.moves.get_mut(&slice) {
+            if let MoveState::Handed { to } = state {
+                *state = MoveState::Open { to: to.clone() };
             }
         }
     }
 
-    /// A later rollback names some of the same slices: of two wishes for a slice only the newer counts.
+    /// Abandons the moves of all slices that a later rollback includes: only the newest move of a slice counts.
     pub fn superseded(&mut self, by: &Rollback) {
-        for (slice, wish) in &mut self.wishes {
-            if by.wishes.contains_key(slice) && matches!(wish, Wish::Open { .. } | Wish::Handed { .. }) {
-                *wish = Wish::Abandoned(Reason::Superseded { by: by.id });
+        for (slice, state) in &mut self.moves {
+            if by.moves.contains_key(slice)
+                && matches!(state, MoveState::Open { .. } | MoveState::Handed { .. })
+            {
+                *state = MoveState::Abandoned(Reason::Superseded { by: by.id });
             }
         }
     }
 
-    /// The assigner has started again, with another clock: it knows of no wish that it was handed before, and gives
-    /// what is left its whole time once more.
+    /// Resumes the rollback after a restart of the assigner. Its clock starts anew, so the time limit does, too. The
+    /// module does not know of earlier requests, so they are made again.
     pub fn recovered(&mut self, now: Duration) {
-        (self.until, self.recovered) = (now + self.within, true);
-        let slices: Vec<SliceId> = self.wishes.keys().copied().collect();
+        (self.expires_at, self.resumed) = (now + self.time_limit, true);
+        let slices: Vec<SliceId> = self.moves.keys().copied().collect();
         slices.into_iter().for_each(|slice| self.put_back(slice));
     }
 
+    /// The number of moves in each state.
     pub fn progress(&self) -> Progress {
         let mut progress = Progress::default();
-        for wish in self.wishes.values() {
-            match wish {
-                Wish::Open { .. } => progress.open += 1,
-                Wish::Handed { .. } => progress.handed += 1,
-                Wish::Done => progress.done += 1,
-                Wish::Abandoned(_) => progress.abandoned += 1,
+        for state in self.moves.values() {
+            match state {
+                MoveState::Open { .. } => progress.open += 1,
+                MoveState::Handed { .. } => progress.handed += 1,
+                MoveState::Done => progress.done += 1,
+                MoveState::Abandoned(_) => progress.abandoned += 1,
             }
         }
         progress
     }
 
+    /// Whether every move is done or abandoned.
     pub fn finished(&self) -> bool {
         let progress = self.progress();
         progress.open + progress.handed == 0
     }
 
-    /// What was abandoned, and why.
+    /// The abandoned moves: slices and reasons.
     pub fn abandoned(&self) -> impl Iterator<Item = (SliceId, &Reason)> {
-        self.wishes.iter().filter_map(|(slice, wish)| match wish {
-            Wish::Abandoned(why) => Some((*slice, why)),
+        self.moves.iter().filter_map(|(slice, state)| match state {
+            MoveState::Abandoned(why) => Some((*slice, why)),
             _ => None,
         })
     }
