--- a/crates/whinhill-history/src/lib.rs
+++ b/crates/whinhill-history/src/lib.rs
@@ -1,8 +1,8 @@
-//! The history of published sets on disk.
+//! The history of published table sets on disk.
 //!
-//! One file holds the newest set slice by slice and one entry a version. Each version is one transaction, synced
-//! before [`Book::keep`] returns: what it says it has kept survives a crash, and what it failed to keep left no
-//! trace. The embedded store is `redb` (`docs/tables.md` weighs it).
+//! One file holds the newest set slice by slice, and one entry for each version. Each version is one transaction,
+//! synced before [`Book::keep`] returns: a version that was kept survives a crash, and one that failed to be kept
+//! leaves nothing behind. The embedded database is `redb`; `docs/tables.md` compares the alternatives.
 //!
 //! ```
 //! use std::time::Duration;
@@ -33,33 +33,42 @@
 use whinhill_tables::rollback::Rollback;
 use whinhill_tables::{Held, History, Limits, Page, RestoreError, SliceTable, TableSet};
 
-/// The form of the file. One with a greater number is of a later program and is not touched.
-pub const FORMAT: u64 = 1;
+/// The version of the file format. A file with a greater one was written by a later program and is not modified.
+pub const FORMAT_VERSION: u64 = 1;
 
+/// The format version, and the number of the newest set.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
+/// Entries of versions, by number.
 const ENTRIES: Table = TableDefinition::new("entries");
+/// The tables of the newest set, by slice.
 const CURRENT: Table = TableDefinition::new("current");
-/// Rollbacks that are under way, by their number.
+/// Rollbacks in progress, by id.
 const ROLLBACKS: Table = TableDefinition::new("rollbacks");
 const FORMAT_KEY: &str = "format";
 const NUMBER_KEY: &str = "number";
 
+/// Why the history could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum BookError {
-    #[error("the history is of format {found}; this program knows up to {known}")]
+    /// The file was written by a later program.
+    #[error("the history has format {found}; this program supports up to {known}")]
     NewerFormat { found: u64, known: u64 },
-    #[error("the history's {place} can't be read: {error}")]
-    Content { place: String, error: serde_json::Error },
-    #[error("the history does not fit together: {0}")]
+    /// A row can't be parsed or written.
+    #[error("history row {row}: {error}")]
+    Content { row: String, error: serde_json::Error },
+    /// The rows are valid, but do not form a history.
+    #[error("the history is inconsistent: {0}")]
     Restore(#[from] RestoreError),
-    #[error("the history's file is damaged; move it away to start without a past")]
+    /// The database panicked on the file's content.
+    #[error("the history file is damaged; move it away to start with an empty history")]
     Damaged,
-    #[error("the history's file: {0}")]
+    /// An error of the database or the file system.
+    #[error("the history file: {0}")]
     Storage(Box<redb::Error>),
 }
 
 impl BookError {
-    /// Whether the same may succeed later and untouched: the disk was full, or failed for a moment.
+    /// Whether the same operation may succeed later without intervention: the disk was full, or failed temporarily.
     pub fn may_pass(&self) -> bool {
         use io::ErrorKind::{InvalidData, UnexpectedEof};
         let BookError::Storage(error) = self else { return false };
@@ -73,11 +82,11 @@
     }
 }
 
-/// `redb` has an error for each of its steps.
+/// Converts `redb`'s errors; it has a type for each kind of operation.
 macro_rules! from_redb {
-    ($($step:ident),*) => {
-        $(impl From<redb::$step> for BookError {
-            fn from(error: redb::$step) -> Self {
+    ($($error:ident),*) => {
+        $(impl From<redb::$error> for BookError {
+            fn from(error: redb::$error) -> Self {
                 BookError::Storage(Box::new(error.into()))
             }
         })*
@@ -92,59 +101,66 @@
 
 from_redb!(DatabaseError, TransactionError, TableError, StorageError, CommitError, SetDurabilityError);
 
-/// The embedded store checks what it reads, but some damage it meets with a panic: found by mangling files
-/// (`tests/mangled.rs`). To whoever opens the file that is one more way of being refused.
-fn guarded<T>(open: impl FnOnce() -> Result<T, BookError>) -> Result<T, BookError> {
+/// Turns a panic while opening a file into [`BookError::Damaged`]. `redb` checks what it reads, but panics on some
+/// damage, which `tests/corruption.rs` found by corrupting files.
+fn catch_panic<T>(open: impl FnOnce() -> Result<T, BookError>) -> Result<T, BookError> {
     catch_unwind(AssertUnwindSafe(open)).unwrap_or(Err(BookError::Damaged))
 }
 
-/// The open file.
+/// The open history file.
 pub struct Book {
     database: Database,
 }
 
 impl Book {
-    /// Opens the file or begins one, and rebuilds the history that it holds.
+    /// Opens the file, or creates it, and restores the history that it holds.
     pub fn open(path: &Path, limits: Limits) -> Result<(Self, History), BookError> {
         if !path.try_exists()? {
             Self::create(path, limits)?;
         }
-        guarded(|| Self::begin(Database::create(path)?, limits))
+        catch_panic(|| Self::from_database(Database::create(path)?, limits))
     }
 
-    /// Makes an empty history beside its place and moves it there once it is whole. One whose making broke off in its
-    /// place could not be opened again.
+    /// Creates an empty history under another name and renames it once it is complete. A file whose creation was
+    /// interrupted at `path` itself could not be opened again.
     fn create(path: &Path, limits: Limits) -> Result<(), BookError> {
-        let beside = path.with_extension("new");
-        match fs::remove_file(&beside) {
+        let temporary = path.with_extension("new");
+        match fs::remove_file(&temporary) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error.into()),
             _ => {}
         }
-        let made = guarded(|| Self::begin(Database::create(&beside)?, limits))?;
-        drop(made);
-        fs::rename(&beside, path)?;
-        if let Some(folder) = path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
-            fs::File::open(folder)?.sync_all()?;
+        let created = catch_panic(|| Self::from_database(Database::create(&temporary)?, limits))?;
+        drop(created);
+        fs::rename(&temporary, path)?;
+        // Syncs the directory, so that the rename survives a crash.
+        if let Some(directory) = path.parent().filter(|directory| !directory.as_os_str().is_empty()) {
+            fs::File::open(directory)?.sync_all()?;
         }
         Ok(())
     }
 
-    /// The same on any storage: for tests that let it fail.
-    pub fn open_on(storage: impl StorageBackend, limits: Limits) -> Result<(Self, History), BookError> {
-        guarded(|| Self::begin(Database::builder().create_with_backend(storage)?, limits))
+    /// As [`Book::open`], on a given storage; tests use one that fails.
+    pub fn open_with_backend(
+        storage: impl StorageBackend,
+        limits: Limits,
+    ) -> Result<(Self, History), BookError> {
+        catch_panic(|| Self::from_database(Database::builder().create_with_backend(storage)?, limits))
     }
 
-    fn begin(mut database: Database, limits: Limits) -> Result<(Self, History), BookError> {
-        // Every page against its checksum: what a disk has changed since must not be taken for a table.
+    /// Verifies the database, creates missing tables and restores the history.
+    fn from_database(mut database: Database, limits: Limits) -> Result<(Self, History), BookError> {
+        // Verifies the checksum of every page, so that data changed by the disk is not taken for tables.
         database.check_integrity()?;
         let transaction = database.begin_write()?;
         {
             let mut meta = transaction.open_table(META)?;
             let found = meta.get(FORMAT_KEY)?.map(|value| value.value());
             match found {
-                Some(found) if found > FORMAT => return Err(BookError::NewerFormat { found, known: FORMAT }),
+                Some(found) if found > FORMAT_VERSION => {
+                    return Err(BookError::NewerFormat { found, known: FORMAT_VERSION })
+                }
                 Some(_) => {}
-                None => drop(meta.insert(FORMAT_KEY, FORMAT)?),
+                None => drop(meta.insert(FORMAT_KEY, FORMAT_VERSION)?),
             }
             transaction.open_table(ENTRIES)?;
             transaction.open_table(CURRENT)?;
@@ -156,62 +172,65 @@
         Ok((book, history))
     }
 
+    /// Restores the history from all rows.
     fn load(&self, limits: Limits) -> Result<History, BookError> {
         let transaction = self.database.begin_read()?;
-        let set = rows(&transaction, CURRENT, "slice")?;
+        let set = read_rows(&transaction, CURRENT, "slice")?;
         let set: TableSet = set.into_iter().map(|(slice, table)| (slice as usize, table)).collect();
-        let entries = rows(&transaction, ENTRIES, "version")?.into_iter().map(|(_, entry)| entry).collect();
+        let entries =
+            read_rows(&transaction, ENTRIES, "version")?.into_iter().map(|(_, entry)| entry).collect();
         let number = transaction.open_table(META)?.get(NUMBER_KEY)?.map_or(0, |value| value.value());
         Ok(History::restore(limits, Held::new(number, set), entries)?)
     }
 
-    /// Keeps a page: the newest version, and what was let go, rewritten or marked meanwhile. On disk when it
-    /// returns; after an error nothing of it is, and what it belongs to must not be published. The same page may
-    /// be kept again.
+    /// Writes an update: the newest version, and the entries that were compacted, rewritten or marked good meanwhile.
+    /// It is on disk when this returns. After an error nothing of it is, and its version must not be published. The
+    /// same update may be written again.
     pub fn keep(&mut self, page: &Page) -> Result<(), BookError> {
         let mut transaction = self.database.begin_write()?;
         transaction.set_durability(Durability::Immediate)?;
         {
             let changed = page.changed.iter().map(|(slice, table)| (*slice as u64, Some(table)));
             let removed = page.removed.iter().map(|slice| (*slice as u64, None::<&SliceTable>));
-            put(&transaction, CURRENT, "slice", changed.chain(removed))?;
+            write_rows(&transaction, CURRENT, "slice", changed.chain(removed))?;
             let touched = page.touched.iter().map(|(number, entry)| (*number, entry.as_ref()));
-            put(&transaction, ENTRIES, "version", touched)?;
+            write_rows(&transaction, ENTRIES, "version", touched)?;
             let rollbacks = page.rollbacks.iter().map(|(id, rollback)| (*id, rollback.as_ref()));
-            put(&transaction, ROLLBACKS, "rollback", rollbacks)?;
+            write_rows(&transaction, ROLLBACKS, "rollback", rollbacks)?;
             transaction.open_table(META)?.insert(NUMBER_KEY, page.number)?;
         }
         transaction.commit()?;
         Ok(())
     }
 
-    /// The rollbacks that were under way, oldest first.
+    /// The stored rollbacks in progress, oldest first.
     pub fn rollbacks(&self) -> Result<Vec<Rollback>, BookError> {
-        let found = rows(&self.database.begin_read()?, ROLLBACKS, "rollback")?;
-        Ok(found.into_iter().map(|(_, rollback)| rollback).collect())
+        let rollbacks = read_rows(&self.database.begin_read()?, ROLLBACKS, "rollback")?;
+        Ok(rollbacks.into_iter().map(|(_, rollback)| rollback).collect())
     }
 }
 
+/// A table of JSON rows with integer keys.
 type Table = TableDefinition<'static, u64, &'static [u8]>;
 
-/// All rows of a table, in the order of their keys; `what` names a row that can't be read.
-fn rows<T: DeserializeOwned>(
+/// Reads all rows of a table in the order of their keys. `what` names an invalid row in errors.
+fn read_rows<T: DeserializeOwned>(
     transaction: &ReadTransaction,
     table: Table,
     what: &str,
 ) -> Result<Vec<(u64, T)>, BookError> {
-    let mut found = Vec::new();
+    let mut parsed = Vec::new();
     for row in transaction.open_table(table)?.iter()? {
         let (key, bytes) = row?;
-        let (key, read) = (key.value(), serde_json::from_slice(bytes.value()));
-        let content = |error| BookError::Content { place: format!("{what} {key}"), error };
-        found.push((key, read.map_err(content)?));
+        let (key, value) = (key.value(), serde_json::from_slice(bytes.value()));
+        let content = |error| BookError::Content { row: format!("{what} {key}"), error };
+        parsed.push((key, value.map_err(content)?));
     }
-    Ok(found)
+    Ok(parsed)
 }
 
-/// Writes rows, and takes those away that have no value.
-fn put<'a, T: Serialize + 'a>(
+/// Writes rows, and removes those without a value.
+fn write_rows<'a, T: Serialize + 'a>(
     transaction: &WriteTransaction,
     table: Table,
     what: &str,
@@ -223,7 +242,7 @@
             table.remove(key)?;
             continue;
         };
-        let content = |error| BookError::Content { place: format!("{what} {key}"), error };
+        let content = |error| BookError::Content { row: format!("{what} {key}"), error };
         table.insert(key, serde_json::to_vec(value).map_err(content)?.as_slice())?;
     }
     Ok(())
--- a/crates/whinhill-history/tests/corruption.rs
+++ b/crates/whinhill-history/tests/corruption.rs
@@ -1,4 +1,4 @@
-//! A file that a disk has changed: it is refused, or what is read of it was once kept. Never anything else.
+//! A file whose content was changed on disk is either refused, or read as a version that was once kept.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,8 +12,8 @@
 
 const LIMITS: Limits = Limits { entries: 200, bytes: 1 << 20, age: Duration::from_secs(1 << 30) };
 
-/// A file of some versions, and each of them.
-fn written(path: &std::path::Path) -> BTreeMap<u64, Held> {
+/// Writes a file with some versions. Returns the set of each version.
+fn write_history(path: &std::path::Path) -> BTreeMap<u64, Held> {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let (mut book, mut history) = Book::open(path, LIMITS).unwrap();
     let mut kept = BTreeMap::from([(0, history.current().clone())]);
@@ -30,13 +30,13 @@
     kept
 }
 
-/// Changes some bytes, cuts the end off, or writes a block over another, as drawn.
-fn mangle(rng: &mut ChaCha8Rng, bytes: &mut Vec<u8>) {
+/// Changes some random bytes, truncates the file, zeroes a range, or copies one block over another.
+fn corrupt(rng: &mut ChaCha8Rng, bytes: &mut Vec<u8>) {
     match rng.random_range(0..4) {
         0 => {
             for _ in 0..rng.random_range(1..20) {
-                let place = rng.random_range(0..bytes.len());
-                bytes[place] = rng.random();
+                let position = rng.random_range(0..bytes.len());
+                bytes[position] = rng.random();
             }
         }
         1 => bytes.truncate(rng.random_range(0..bytes.len())),
@@ -53,16 +53,17 @@
     }
 }
 
-fn mangled(seeds: std::ops::Range<u64>) -> (u64, u64) {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("history.redb");
-    let kept = written(&path);
-    let whole = fs::read(&path).unwrap();
+/// Opens a corrupted file for each seed. Returns how many were refused and how many were read.
+fn open_corrupted(seeds: std::ops::Range<u64>) -> (u64, u64) {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("history.redb");
+    let kept = write_history(&path);
+    let intact = fs::read(&path).unwrap();
     let (mut refused, mut read) = (0, 0);
     for seed in seeds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut bytes = whole.clone();
-        mangle(&mut rng, &mut bytes);
+        let mut bytes = intact.clone();
+        corrupt(&mut rng, &mut bytes);
         fs::write(&path, &bytes).unwrap();
         let opened = catch_unwind(AssertUnwindSafe(|| Book::open(&path, LIMITS)));
         let opened = opened.unwrap_or_else(|_| panic!("seed {seed}: the reader panicked"));
@@ -82,15 +83,15 @@
 }
 
 #[test]
-fn a_mangled_file_is_refused_or_holds_what_was_kept() {
-    let (refused, read) = mangled(0..150);
+fn corrupted_file_is_refused_or_reads_as_a_kept_version() {
+    let (refused, read) = open_corrupted(0..150);
     assert!(refused > 10 && read > 10, "{refused} refused, {read} read");
 }
 
-/// The longer run, by hand: `cargo test --release -p whinhill-history --test mangled -- --ignored`.
+/// The long run, started manually: `cargo test --release -p whinhill-history --test corruption -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn many_mangled_files() {
-    let (refused, read) = mangled(1000..21_000);
+fn many_corrupted_files() {
+    let (refused, read) = open_corrupted(1000..21_000);
     println!("{refused} refused, {read} read");
 }
