--- a/crates/whinhill-reports/src/intake.rs
+++ b/crates/whinhill-reports/src/intake.rs
@@ -1,4 +1,4 @@
-//! Reports in, a bounded number of lines out.
+//! Collects reports and outputs a bounded number of merged lines.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,32 +8,34 @@
 use rand_chacha::ChaCha8Rng;
 use whinhill::interface::{ProxyId, SliceId, ZoneId};
 
-use crate::clock::{Clock, Placed};
+use crate::clock::{PlacedInterval, ProxyClock};
 use crate::ledger::Ledger;
-use crate::sample::thin;
-use crate::trust::{Trust, Usual};
+use crate::rate_filter::{PeerRates, RateFilter};
+use crate::sample::downsample;
 use crate::{Figures, Key, Line, Told};
 
-/// What an intake may cost, and how long it waits.
+/// Limits on the cost of an intake, and its waiting times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Proxies report this often, and lines are given this often.
+    /// The reporting interval of proxies, and the interval of output.
     pub period: Duration,
+    /// The maximum number of lines output per second.
     pub lines_per_s: u32,
-    /// Lines of one report that are taken as they are; longer ones are thinned to as many.
-    pub report_lines_most: usize,
-    /// Keys that are held at a time.
-    pub keys_most: usize,
-    /// How long after its end a stretch waits for those who are late, in periods.
-    pub wait: u32,
-    /// A line whose tries are known no better than to this share waits for more, up to [`Limits::age_most`].
-    pub error_most: f64,
-    /// A line is given by then whatever it holds, in periods.
-    pub age_most: u32,
-    /// A proxy whose streams are gone is expected to carry on for so long, in periods: cut off is not idle.
-    pub vouch: u32,
-    /// With less of the expected load heard than this share nothing is given: too little is known.
-    pub heard_least: f64,
+    /// The maximum number of lines of one report; longer reports are downsampled to it.
+    pub max_report_lines: usize,
+    /// The maximum number of keys held at a time.
+    pub max_keys: usize,
+    /// How long a period is kept open after its end for late reports, in periods.
+    pub late_report_periods: u32,
+    /// A line whose tries have a greater relative standard error is held back, up to
+    /// [`Limits::max_age_periods`].
+    pub max_relative_error: f64,
+    /// The age in periods after which a line is no longer held back for its error, and takes precedence.
+    pub max_age_periods: u32,
+    /// How long a proxy without streams is still expected to have load, in periods: a disconnected proxy is not idle.
+    pub disconnected_periods: u32,
+    /// The minimum fraction of the expected load that must be reported for any output; with less too little is known.
+    pub min_coverage: f64,
 }
 
 impl Default for Limits {
@@ -41,13 +43,13 @@
         Limits {
             period: Duration::from_secs(1),
             lines_per_s: 2000,
-            report_lines_most: 512,
-            keys_most: 200_000,
-            wait: 1,
-            error_most: 0.5,
-            age_most: 4,
-            vouch: 10,
-            heard_least: 0.25,
+            max_report_lines: 512,
+            max_keys: 200_000,
+            late_report_periods: 1,
+            max_relative_error: 0.5,
+            max_age_periods: 4,
+            disconnected_periods: 10,
+            min_coverage: 0.25,
         }
     }
 }
@@ -55,49 +57,57 @@
 /// A line for the module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Given {
+    /// What the line counts.
     pub key: Key,
-    /// Counts stand for all proxies that are expected to report, heard or not.
+    /// The counts, extrapolated to all proxies that are expected to report.
     pub figures: Figures,
-    /// The stretch that it covers: longer where little was known of a shorter one.
+    /// The interval that the line covers. It is longer if too little was known of a shorter one.
     pub span: Duration,
-    /// The standard error of its tries.
+    /// The standard error of the number of tries.
     pub error: f64,
 }
 
-/// How a proxy stands, by its reports. Unheard is unknown: only one that says so is quiet.
+/// The state of a proxy according to its reports. A proxy without reports is unknown; only one that reports no load is
+/// quiet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Hearing {
-    /// It reports, and RPCs came.
+    /// It reports load.
     Heard,
-    /// It reports that nothing came.
+    /// It reports that it has no load.
     Quiet,
-    /// Its stream stands and it says nothing.
+    /// It has a stream and does not report.
     Silent,
-    /// Its stream is gone.
+    /// It has no stream.
     Cut,
 }
 
+/// A proxy that reports.
 #[derive(Debug, Default)]
 struct Source {
     zone: ZoneId,
-    clock: Clock,
-    trust: Trust,
-    /// Its report streams that stand.
+    clock: ProxyClock,
+    rate_filter: RateFilter,
+    /// The number of its open report streams.
     streams: u32,
-    opened: Duration,
-    /// When it last said anything, and whether that was that nothing came.
-    said: Option<Duration>,
+    /// When the first of its streams was opened.
+    opened_at: Duration,
+    /// When its last report arrived.
+    last_report: Option<Duration>,
+    /// Whether the last report had no lines.
     quiet: bool,
-    late: Duration,
+    /// The lag of the last report.
+    lag: Duration,
     /// When the last of its streams ended.
-    closed: Duration,
-    /// What it usually tells most of, in tries a second: known apart, since nobody else may tell of it.
-    heavy: BTreeMap<Key, f64>,
-    /// Digests of its last reports, to know one that comes again.
-    before: VecDeque<u64>,
+    closed_at: Duration,
+    /// The keys that make up most of its load, with their rates in tries per second. If the proxy is missing, these are
+    /// estimated from its own past, since no other proxy may report them.
+    heavy_hitters: BTreeMap<Key, f64>,
+    /// Digests of its last reports, to detect duplicates.
+    recent_digests: VecDeque<u64>,
 }
 
 impl Hearing {
+    /// The name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             Hearing::Heard => "heard",
@@ -109,30 +119,31 @@
 }
 
 impl Source {
-    /// Takes up what a report says most of.
-    fn note_heavy(&mut self, lines: &[Line], believed: f64, stretch: Duration) {
-        let seconds = stretch.as_secs_f64().max(1e-3);
-        let least = self.trust.rate().unwrap_or(0.0) * HEAVY;
-        self.heavy.values_mut().for_each(|rate| *rate *= 1.0 - HEAVY_NEW);
+    /// Updates the heavy hitters from a report over `interval` of which the fraction `accepted` counts.
+    fn update_heavy_hitters(&mut self, lines: &[Line], accepted: f64, interval: Duration) {
+        let seconds = interval.as_secs_f64().max(1e-3);
+        let threshold = self.rate_filter.rate().unwrap_or(0.0) * HEAVY_HITTER_SHARE;
+        self.heavy_hitters.values_mut().for_each(|rate| *rate *= 1.0 - HEAVY_HITTER_WEIGHT);
         for Line { key, figures } in lines {
-            let rate = figures.tries as f64 * believed / seconds;
-            if let Some(known) = self.heavy.get_mut(key) {
-                *known += rate * HEAVY_NEW;
-            } else if rate >= least && self.heavy.len() < HEAVY_MOST {
-                self.heavy.insert(*key, rate);
+            let rate = figures.tries as f64 * accepted / seconds;
+            if let Some(known) = self.heavy_hitters.get_mut(key) {
+                *known += rate * HEAVY_HITTER_WEIGHT;
+            } else if rate >= threshold && self.heavy_hitters.len() < MAX_HEAVY_HITTERS {
+                self.heavy_hitters.insert(*key, rate);
             }
         }
-        self.heavy.retain(|_, rate| *rate >= least / 2.0);
+        self.heavy_hitters.retain(|_, rate| *rate >= threshold / 2.0);
     }
 
-    /// Whether it counts among those that should be heard from `begin` on.
-    fn expected(&self, begin: Duration, vouch: Duration) -> bool {
-        self.opened <= begin && (self.streams > 0 || begin <= self.closed + vouch)
+    /// Whether the proxy is expected to have load from `begin` on. `grace` is how long this holds without a stream.
+    fn is_expected(&self, begin: Duration, grace: Duration) -> bool {
+        self.opened_at <= begin && (self.streams > 0 || begin <= self.closed_at + grace)
     }
 
+    /// The proxy's state at `now`.
     fn hearing(&self, now: Duration, period: Duration) -> Hearing {
-        let since = self.said.unwrap_or(self.opened);
-        match (self.streams, now.saturating_sub(since) > period * SILENT_AFTER) {
+        let since = self.last_report.unwrap_or(self.opened_at);
+        match (self.streams, now.saturating_sub(since) > period * SILENT_AFTER_PERIODS) {
             (0, _) => Hearing::Cut,
             (_, true) => Hearing::Silent,
             (_, false) if self.quiet => Hearing::Quiet,
@@ -141,77 +152,85 @@
     }
 }
 
+/// Merged counts of a key.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
     figures: Figures,
+    /// The variance of the number of tries.
     variance: f64,
-    /// Tries told by proxies that tell most of this key: they stand for nobody else.
-    apart: u64,
+    /// Tries reported by proxies of which the key is a heavy hitter. They are not extrapolated to other proxies.
+    heavy_tries: u64,
 }
 
 impl Sum {
     fn add(&mut self, other: &Sum) {
         self.figures.add(&other.figures);
         self.variance += other.variance;
-        self.apart += other.apart;
+        self.heavy_tries += other.heavy_tries;
     }
 }
 
+/// What is held of a key.
 #[derive(Debug, Default)]
 struct Window {
-    /// By period: what fell into it, while it waits for those who are late.
-    open: BTreeMap<u64, Sum>,
-    /// What is complete and was not given, and how many periods it covers.
-    waiting: Sum,
-    /// Tries of those who should have been heard in these periods and were not, by what they usually tell.
-    unheard: f64,
-    periods: u32,
-    /// The rate that was given last, in tries a second.
-    told: f64,
-    /// The last period that was given or folded.
-    since: u64,
+    /// The counts of each open period, which waits for late reports.
+    open_periods: BTreeMap<u64, Sum>,
+    /// The counts of closed periods that are not output yet.
+    pending: Sum,
+    /// The estimated tries in `pending_periods` of proxies that were expected to report and did not.
+    missing_tries: f64,
+    /// The number of periods that `pending` covers.
+    pending_periods: u32,
+    /// The rate that was output last, in tries per second.
+    last_rate: f64,
+    /// The first period that was not closed yet.
+    closed_until: u64,
 }
 
-/// A key that makes up this share of what a proxy tells is known apart, up to so many.
-const HEAVY: f64 = 0.02;
-const HEAVY_MOST: usize = 64;
-const HEAVY_NEW: f64 = 0.3;
-const SILENT_AFTER: u32 = 3;
-/// A proxy whose stream is gone for this long is forgotten, in periods.
-const FORGET_AFTER: u32 = 120;
-/// Reports of a proxy whose repetition is known.
-const DIGESTS: usize = 4;
-/// Periods that lines may lie back; what happened before is merged nowhere.
-const BACK: u64 = 8;
-/// The longest stretch that one line covers, in periods.
-const PERIODS_MOST: u32 = 20;
-
-/// Lines that stand for the same tries: those at a zone's servers, and those of slices.
+/// A key with at least this share of a proxy's load is a heavy hitter of the proxy.
+const HEAVY_HITTER_SHARE: f64 = 0.02;
+/// The maximum number of heavy hitters of a proxy.
+const MAX_HEAVY_HITTERS: usize = 64;
+/// The weight of a new rate in the smoothed rate of a heavy hitter.
+const HEAVY_HITTER_WEIGHT: f64 = 0.3;
+/// A proxy with a stream is silent if it has not reported for more than this many periods.
+const SILENT_AFTER_PERIODS: u32 = 3;
+/// A proxy without a stream is forgotten this many periods after its last report.
+const FORGET_AFTER_PERIODS: u32 = 120;
+/// The number of a proxy's last reports whose duplicates are detected.
+const MAX_DIGESTS: usize = 4;
+/// The number of periods before the end of a report's interval that are merged; older parts are dropped as late.
+const MAX_PERIODS_BACK: u64 = 8;
+/// The maximum number of periods that one output line covers.
+const MAX_LINE_PERIODS: u32 = 20;
+
+/// A group of lines that count the same tries: those for the servers of a zone, and those for slices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Family {
-    Met(ZoneId),
-    Came,
+    Servers(ZoneId),
+    Slices,
 }
 
 impl Family {
     fn of(key: &Key) -> Family {
         match key {
-            Key::Met { zone, .. } => Family::Met(*zone),
-            Key::Came { .. } => Family::Came,
+            Key::Met { zone, .. } => Family::Servers(*zone),
+            Key::Came { .. } => Family::Slices,
         }
     }
 }
 
-/// Who was heard over some periods, and what makes up for the others.
+/// How much of the load was reported over some periods, and how the rest is estimated.
 struct Coverage {
-    /// The part of the expected load that was heard.
-    heard: f64,
-    /// Tries that each try heard stands for beside itself.
-    more: BTreeMap<Family, f64>,
-    /// Tries by key that the unheard usually tell.
-    apart: BTreeMap<Key, f64>,
+    /// The fraction of the expected load that was reported.
+    reported: f64,
+    /// The number of missing tries for each reported try, apart from heavy hitters.
+    missing_per_reported: BTreeMap<Family, f64>,
+    /// The missing tries of heavy hitters.
+    missing_heavy_tries: BTreeMap<Key, f64>,
 }
 
+/// Collects the reports of all proxies.
 pub struct Intake {
     limits: Limits,
     sources: BTreeMap<ProxyId, Source>,
@@ -219,35 +238,39 @@
     ledger: Ledger,
     rng: ChaCha8Rng,
     /// The first period that is still open.
-    open: u64,
-    usual: Option<Usual>,
-    /// Tries in windows.
-    waiting: u64,
-    /// What was given within the last second or period.
-    given: VecDeque<(Duration, usize)>,
+    first_open_period: u64,
+    /// The rates of all proxies with a stream; `None` before the first report.
+    peer_rates: Option<PeerRates>,
+    /// The number of tries in `windows`.
+    held_tries: u64,
+    /// The times of recent outputs and their numbers of lines, as far as they count against the budget.
+    recent_outputs: VecDeque<(Duration, usize)>,
     shown: Shown,
 }
 
-/// What staff can look at.
+/// Statistics for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shown {
-    /// Keys with something to give, and how many of them were given, at the last turn.
+    /// The number of lines ready for output at the last period's end.
     pub ready: usize,
+    /// The number of those that were output.
     pub given: usize,
-    /// Lines that waited since they are known too badly.
+    /// The number of lines held back because of their error.
     pub unsure: usize,
-    /// The greatest standard error of a line given at the last turn, as a share of its tries.
+    /// The greatest relative standard error of the lines output last.
     pub error_most: f64,
-    /// The part of the expected load that was heard for the last period given.
+    /// The fraction of the expected load that was reported for the periods closed last.
     pub heard: f64,
-    /// Proxies by [`Hearing`]: heard, quiet, silent, cut.
+    /// The number of proxies by [`Hearing`]: heard, quiet, silent, cut.
     pub proxies: [usize; 4],
-    /// The longest and the middle lag of proxies that are heard.
+    /// The greatest lag of the proxies that report.
     pub lag_most: Duration,
+    /// The median lag of the proxies that report.
     pub lag_middle: Duration,
 }
 
 impl Intake {
+    /// Creates an empty intake. `seed` is that of the random numbers for downsampling.
     pub fn new(limits: Limits, seed: u64) -> Self {
         Intake {
             limits,
@@ -255,10 +278,10 @@
             windows: BTreeMap::new(),
             ledger: Ledger::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            open: 0,
-            usual: None,
-            waiting: 0,
-            given: VecDeque::new(),
+            first_open_period: 0,
+            peer_rates: None,
+            held_tries: 0,
+            recent_outputs: VecDeque::new(),
             shown: Shown::default(),
         }
     }
@@ -267,363 +290,392 @@
         (at.as_nanos() / self.limits.period.as_nanos().max(1)) as u64
     }
 
-    /// A proxy opened a report stream: it is expected to report.
+    /// Notes that a proxy opened a report stream. It is then expected to report.
     pub fn opened(&mut self, now: Duration, proxy: ProxyId, zone: ZoneId) {
         let source = self.sources.entry(proxy).or_default();
         if source.streams == 0 {
-            source.opened = now;
+            source.opened_at = now;
         }
-        source.clock.reopened();
+        source.clock.stream_reopened();
         (source.zone, source.streams) = (zone, source.streams + 1);
     }
 
-    /// And one that ended.
+    /// Notes that a report stream of a proxy ended.
     pub fn closed(&mut self, now: Duration, proxy: ProxyId) {
         if let Some(source) = self.sources.get_mut(&proxy) {
             source.streams = source.streams.saturating_sub(1);
-            source.closed = now;
-            source.said = source.said.or(Some(now));
+            source.closed_at = now;
+            source.last_report = source.last_report.or(Some(now));
         }
     }
 
-    /// Takes a report that arrived `now`.
+    /// Merges a report that arrived `now`.
     pub fn take(&mut self, now: Duration, told: Told) {
         let tries: u64 = told.lines.iter().map(|line| line.figures.tries).sum();
         self.ledger.reports += 1;
         self.ledger.offered += tries;
         self.ledger.strange += told.strange;
-        let (period, usual) = (self.limits.period, self.usual);
+        let (period, peer_rates) = (self.limits.period, self.peer_rates);
         let source =
-            self.sources.entry(told.proxy).or_insert_with(|| Source { opened: now, ..Source::default() });
+            self.sources.entry(told.proxy).or_insert_with(|| Source { opened_at: now, ..Source::default() });
         source.zone = told.zone;
-        let passed = now.saturating_sub(source.said.unwrap_or_default());
-        (source.said, source.quiet) = (Some(now), told.lines.is_empty());
+        let passed = now.saturating_sub(source.last_report.unwrap_or_default());
+        (source.last_report, source.quiet) = (Some(now), told.lines.is_empty());
         if !told.lines.is_empty() {
             let digest = digest(&told);
-            // A quiet service says the same each second. Only what comes again in less than half the time that it
-            // covers can't be news.
-            let too_soon = told.stretch.is_some_and(|stretch| passed < stretch / 2);
-            if too_soon && source.before.contains(&digest) {
+            // A service with constant load has equal reports each second. Only a report that is repeated in less than
+            // half the time that it covers must be a duplicate.
+            let too_soon = told.stretch.is_some_and(|interval| passed < interval / 2);
+            if too_soon && source.recent_digests.contains(&digest) {
                 self.ledger.repeated += tries;
                 return;
             }
-            source.before.push_back(digest);
-            if source.before.len() > DIGESTS {
-                source.before.pop_front();
+            source.recent_digests.push_back(digest);
+            if source.recent_digests.len() > MAX_DIGESTS {
+                source.recent_digests.pop_front();
             }
         }
         let placed = source.clock.place(now, told.stretch, period / 2);
-        source.late = placed.late;
-        self.ledger.mended += u64::from(placed.mended);
-        // Counts of a slice are those of a server over again: the greater of the two sums is what it carries.
-        let of = |wanted: fn(&Key) -> bool| {
+        source.lag = placed.lag;
+        self.ledger.mended += u64::from(placed.corrected);
+        // Lines of slices and lines of servers count the same tries, so the proxy's load is the greater of the sums.
+        let tries_of = |wanted: fn(&Key) -> bool| {
             told.lines.iter().filter(|line| wanted(&line.key)).map(|line| line.figures.tries).sum::<u64>()
         };
-        let carried = of(|key| matches!(key, Key::Came { .. })).max(of(|key| matches!(key, Key::Met { .. })));
-        let believed = source.trust.believe(carried, placed.to.saturating_sub(placed.from), usual);
-        source.note_heavy(&told.lines, believed, placed.to.saturating_sub(placed.from));
-        let heavy: BTreeSet<Key> = source.heavy.keys().copied().collect();
-        let thinned = thin(told.lines, self.limits.report_lines_most, &mut self.rng);
-        self.ledger.estimated += thinned.estimated;
-        self.ledger.thinned += u64::from(thinned.estimated != 0);
-        for (line, variance) in thinned.lines {
-            let doubted = line.figures.part(believed, 1.0);
-            let figures = line.figures.part(0.0, believed);
-            self.ledger.doubted += doubted.tries;
-            let apart = heavy.contains(&line.key);
-            self.merge(line.key, &figures, variance, apart, &placed);
+        let load = tries_of(|key| matches!(key, Key::Came { .. }))
+            .max(tries_of(|key| matches!(key, Key::Met { .. })));
+        let accepted = source.rate_filter.accept(load, placed.to.saturating_sub(placed.from), peer_rates);
+        source.update_heavy_hitters(&told.lines, accepted, placed.to.saturating_sub(placed.from));
+        let heavy_hitters: BTreeSet<Key> = source.heavy_hitters.keys().copied().collect();
+        let downsampled = downsample(told.lines, self.limits.max_report_lines, &mut self.rng);
+        self.ledger.estimated += downsampled.total_error;
+        self.ledger.thinned += u64::from(downsampled.total_error != 0);
+        for (line, variance) in downsampled.lines {
+            let rejected = line.figures.portion(accepted, 1.0);
+            let figures = line.figures.portion(0.0, accepted);
+            self.ledger.doubted += rejected.tries;
+            let heavy = heavy_hitters.contains(&line.key);
+            self.merge(line.key, &figures, variance, heavy, &placed);
         }
     }
 
-    /// Lays a line out over the periods in which it happened.
-    fn merge(&mut self, key: Key, figures: &Figures, variance: f64, apart: bool, placed: &Placed) {
+    /// Spreads a line over the periods of its interval. `heavy` tells whether its key is a heavy hitter of the proxy.
+    fn merge(&mut self, key: Key, figures: &Figures, variance: f64, heavy: bool, placed: &PlacedInterval) {
         let (from, to) = (placed.from, placed.to);
-        if !self.windows.contains_key(&key) && self.windows.len() >= self.limits.keys_most {
+        if !self.windows.contains_key(&key) && self.windows.len() >= self.limits.max_keys {
             self.ledger.foreign += figures.tries;
             return;
         }
         let (first, last) = (self.period_of(from), self.period_of(to.max(from)));
-        let (from, to, fresh) = (from.as_secs_f64(), to.as_secs_f64(), placed.fresh.as_secs_f64());
+        let (from, to, new_from) = (from.as_secs_f64(), to.as_secs_f64(), placed.new_from.as_secs_f64());
         let (length, period) = ((to - from).max(1e-9), self.limits.period.as_secs_f64());
-        let (open, oldest) = (self.open, last.saturating_sub(BACK).max(first));
-        let window = self.windows.entry(key).or_insert_with(|| Window { since: open, ..Window::default() });
-        let share = |at: u64| ((at as f64 * period - from) / length).clamp(0.0, 1.0);
-        let news = ((fresh - from) / length).clamp(0.0, 1.0);
+        let (first_open, oldest) = (self.first_open_period, last.saturating_sub(MAX_PERIODS_BACK).max(first));
+        let window = self
+            .windows
+            .entry(key)
+            .or_insert_with(|| Window { closed_until: first_open, ..Window::default() });
+        let fraction_at = |at: u64| ((at as f64 * period - from) / length).clamp(0.0, 1.0);
+        let new_fraction = ((new_from - from) / length).clamp(0.0, 1.0);
         let mut merged = 0;
         for at in oldest..=last {
-            // The last part takes the rounding, so that nothing falls between two periods.
-            let end = if at == last { 1.0 } else { share(at + 1) };
-            let begin = (if at == first { 0.0 } else { share(at) }).max(news);
+            // The ends are exact, so that rounding loses no tries between periods.
+            let end = if at == last { 1.0 } else { fraction_at(at + 1) };
+            let begin = (if at == first { 0.0 } else { fraction_at(at) }).max(new_fraction);
             if begin >= end {
                 continue;
             }
-            let part = figures.part(begin, end);
-            if at < open {
+            let portion = figures.portion(begin, end);
+            if at < first_open {
                 continue;
             }
-            merged += part.tries;
-            let apart = if apart { part.tries } else { 0 };
-            let sum = Sum { figures: part, variance: variance * (end - begin), apart };
-            window.open.entry(at).or_default().add(&sum);
+            merged += portion.tries;
+            let heavy_tries = if heavy { portion.tries } else { 0 };
+            let sum = Sum { figures: portion, variance: variance * (end - begin), heavy_tries };
+            window.open_periods.entry(at).or_default().add(&sum);
         }
-        self.waiting += merged;
+        self.held_tries += merged;
         self.ledger.late += figures.tries - merged;
-        // A proxy may be late as a whole; what its servers tell of themselves is news all the same.
-        window.waiting.figures.load = figures.load_over(window.waiting.figures.load);
+        // Even a report that is too late as a whole has the servers' newest load values.
+        window.pending.figures.load = figures.load_or(window.pending.figures.load);
     }
 
-    /// What the module is given now: at the end of each period, within the budget.
+    /// Closes the periods that are complete at `now` and returns the lines to output, within the budget.
     pub fn give(&mut self, now: Duration) -> Vec<Given> {
-        let ripe = self.period_of(now).saturating_sub(u64::from(self.limits.wait));
-        if ripe <= self.open {
+        let complete_until = self.period_of(now).saturating_sub(u64::from(self.limits.late_report_periods));
+        if complete_until <= self.first_open_period {
             return Vec::new();
         }
-        let (begin, end) = (self.open, ripe);
+        let (begin, end) = (self.first_open_period, complete_until);
         let coverage = self.coverage(begin, end);
-        self.fold(ripe, &coverage);
-        self.open = ripe;
-        self.usual =
-            Usual::of(self.sources.values().filter(|s| s.streams > 0).filter_map(|s| s.trust.rate()));
-        self.forget(now);
-        self.look(now, coverage.heard);
-        if coverage.heard < self.limits.heard_least {
+        self.close_periods(complete_until, &coverage);
+        self.first_open_period = complete_until;
+        self.peer_rates = PeerRates::of(
+            self.sources.values().filter(|s| s.streams > 0).filter_map(|s| s.rate_filter.rate()),
+        );
+        self.forget_inactive(now);
+        self.update_shown(now, coverage.reported);
+        if coverage.reported < self.limits.min_coverage {
             return Vec::new();
         }
-        self.choose(now)
+        self.output_lines(now)
     }
 
-    /// How much of the expected load was heard over these periods, and what makes up for the rest: what the unheard
-    /// usually tell most of by key, and all else by those who were heard.
+    /// Computes how much of the expected load was reported over the periods `from..to`, and the estimate of the rest:
+    /// heavy hitters of missing proxies by their usual rates, and all other keys by the reports of other proxies.
     fn coverage(&self, from: u64, to: u64) -> Coverage {
         let at = |period: u64| self.limits.period.mul_f64(period as f64);
         let (begin, end) = (at(from), at(to));
         let seconds = end.saturating_sub(begin).as_secs_f64().max(1e-9);
-        let middle = self.usual.map_or(0.0, |usual| usual.rate);
-        let vouch = self.limits.period * self.limits.vouch;
-        let mut coverage = Coverage { heard: 1.0, more: BTreeMap::new(), apart: BTreeMap::new() };
-        // Of each family, beside what is known apart: heard and unheard.
+        let median = self.peer_rates.map_or(0.0, |peers| peers.median);
+        let grace = self.limits.period * self.limits.disconnected_periods;
+        let mut coverage = Coverage {
+            reported: 1.0,
+            missing_per_reported: BTreeMap::new(),
+            missing_heavy_tries: BTreeMap::new(),
+        };
+        // The reported and the missing rate of each family, without heavy hitters.
         let mut families: BTreeMap<Family, (f64, f64)> = BTreeMap::new();
-        let (mut expected, mut heard) = (0.0, 0.0);
-        for source in self.sources.values().filter(|source| source.expected(begin, vouch)) {
-            let rate = source.trust.rate().unwrap_or(middle);
-            let until = source.clock.heard_until().unwrap_or(Duration::ZERO);
-            let part = until.saturating_sub(begin).as_secs_f64() / seconds;
-            // A report that ends a moment before the period does has told of all of it, as far as rates go.
-            let part = if part > 0.5 { 1.0 } else { part };
-            expected += rate;
-            heard += rate * part;
-            let mut apart = [0.0, 0.0];
-            for (key, rate) in &source.heavy {
-                if part < 1.0 {
-                    *coverage.apart.entry(*key).or_default() += rate * seconds * (1.0 - part);
+        let (mut expected_load, mut reported_load) = (0.0, 0.0);
+        for source in self.sources.values().filter(|source| source.is_expected(begin, grace)) {
+            let rate = source.rate_filter.rate().unwrap_or(median);
+            let reported_until = source.clock.reported_until().unwrap_or(Duration::ZERO);
+            let reported_part = reported_until.saturating_sub(begin).as_secs_f64() / seconds;
+            // A report that ends shortly before the periods do covers all of them, as far as rates are concerned.
+            let reported_part = if reported_part > 0.5 { 1.0 } else { reported_part };
+            expected_load += rate;
+            reported_load += rate * reported_part;
+            let mut heavy_rates = [0.0, 0.0];
+            for (key, rate) in &source.heavy_hitters {
+                if reported_part < 1.0 {
+                    *coverage.missing_heavy_tries.entry(*key).or_default() +=
+                        rate * seconds * (1.0 - reported_part);
                 }
-                apart[usize::from(matches!(key, Key::Came { .. }))] += rate;
+                heavy_rates[usize::from(matches!(key, Key::Came { .. }))] += rate;
             }
-            for (family, apart) in [Family::Met(source.zone), Family::Came].into_iter().zip(apart) {
-                let (heard, unheard) = families.entry(family).or_default();
-                *heard += (rate - apart).max(0.0) * part;
-                *unheard += (rate - apart).max(0.0) * (1.0 - part);
+            let families_of_source = [Family::Servers(source.zone), Family::Slices];
+            for (family, heavy_rate) in families_of_source.into_iter().zip(heavy_rates) {
+                let (reported, missing) = families.entry(family).or_default();
+                *reported += (rate - heavy_rate).max(0.0) * reported_part;
+                *missing += (rate - heavy_rate).max(0.0) * (1.0 - reported_part);
             }
         }
-        if expected > 0.0 {
-            coverage.heard = heard / expected;
+        if expected_load > 0.0 {
+            coverage.reported = reported_load / expected_load;
         }
-        for (family, (heard, unheard)) in families {
-            // Few stand for many up to a bound; past it nothing is given at all.
-            let most = 1.0 / self.limits.heard_least - 1.0;
-            coverage.more.insert(family, (unheard / heard.max(1e-9)).min(most));
+        for (family, (reported, missing)) in families {
+            // Extrapolation is bounded. With less coverage than this bound stands for there is no output at all.
+            let max_ratio = 1.0 / self.limits.min_coverage - 1.0;
+            coverage.missing_per_reported.insert(family, (missing / reported.max(1e-9)).min(max_ratio));
         }
         coverage
     }
 
-    /// Adds what is complete to what waits to be given.
-    fn fold(&mut self, ripe: u64, coverage: &Coverage) {
-        let open = self.open;
-        for key in coverage.apart.keys() {
-            if self.windows.len() < self.limits.keys_most {
-                self.windows.entry(*key).or_insert_with(|| Window { since: open, ..Window::default() });
+    /// Moves the counts of all periods before `complete_until` to the pending ones and adds the estimate of missing
+    /// tries.
+    fn close_periods(&mut self, complete_until: u64, coverage: &Coverage) {
+        let first_open = self.first_open_period;
+        for key in coverage.missing_heavy_tries.keys() {
+            if self.windows.len() < self.limits.max_keys {
+                self.windows
+                    .entry(*key)
+                    .or_insert_with(|| Window { closed_until: first_open, ..Window::default() });
             }
         }
         for (key, window) in &mut self.windows {
-            let later = window.open.split_off(&ripe);
-            let more = coverage.more.get(&Family::of(key)).copied().unwrap_or(0.0);
-            for sum in std::mem::replace(&mut window.open, later).values() {
-                window.waiting.add(sum);
-                window.unheard += (sum.figures.tries - sum.apart) as f64 * more;
+            let later = window.open_periods.split_off(&complete_until);
+            let missing_per_reported =
+                coverage.missing_per_reported.get(&Family::of(key)).copied().unwrap_or(0.0);
+            for sum in std::mem::replace(&mut window.open_periods, later).values() {
+                window.pending.add(sum);
+                window.missing_tries += (sum.figures.tries - sum.heavy_tries) as f64 * missing_per_reported;
             }
-            window.unheard += coverage.apart.get(key).copied().unwrap_or(0.0);
-            // Idle periods count too, up to a bound: they are part of what a rate is reckoned over.
-            window.periods =
-                (window.periods as u64 + ripe.saturating_sub(window.since)).min(PERIODS_MOST.into()) as u32;
-            window.since = ripe;
+            window.missing_tries += coverage.missing_heavy_tries.get(key).copied().unwrap_or(0.0);
+            // Idle periods count, too, up to a bound: rates are computed over them.
+            window.pending_periods = (window.pending_periods as u64
+                + complete_until.saturating_sub(window.closed_until))
+            .min(MAX_LINE_PERIODS.into()) as u32;
+            window.closed_until = complete_until;
         }
     }
 
-    /// The lines to give: those that waited long enough first, then those that change the picture most.
-    fn choose(&mut self, now: Duration) -> Vec<Given> {
+    /// Chooses the lines to output: overdue ones first, oldest first, and then those whose rates have changed most.
+    fn output_lines(&mut self, now: Duration) -> Vec<Given> {
         let period = self.limits.period.as_secs_f64();
-        // Never more than the budget within any second, or any period where that is longer.
-        let within = Duration::from_secs(1).max(self.limits.period);
-        self.given.retain(|(at, _)| now.saturating_sub(*at) < within);
-        let spent: usize = self.given.iter().map(|(_, count)| count).sum();
-        let most = (f64::from(self.limits.lines_per_s) * within.as_secs_f64()) as usize;
-        let most = most.saturating_sub(spent);
+        // The budget holds for any second, or any period if that is longer.
+        let budget_time = Duration::from_secs(1).max(self.limits.period);
+        self.recent_outputs.retain(|(at, _)| now.saturating_sub(*at) < budget_time);
+        let used: usize = self.recent_outputs.iter().map(|(_, count)| count).sum();
+        let budget = (f64::from(self.limits.lines_per_s) * budget_time.as_secs_f64()) as usize;
+        let budget = budget.saturating_sub(used);
         let mut ready = Vec::new();
-        let mut unsure = 0;
+        let mut held_back = 0;
         for (key, window) in &self.windows {
-            let tries = window.waiting.figures.tries as f64 + window.unheard;
+            let tries = window.pending.figures.tries as f64 + window.missing_tries;
             if tries < 1.0 {
                 continue;
             }
-            let (overdue, error) = (window.periods >= self.limits.age_most, window.waiting.variance.sqrt());
-            if !overdue && error > self.limits.error_most * tries {
-                unsure += 1;
+            let overdue = window.pending_periods >= self.limits.max_age_periods;
+            let error = window.pending.variance.sqrt();
+            if !overdue && error > self.limits.max_relative_error * tries {
+                held_back += 1;
                 continue;
             }
-            let rate = tries / (f64::from(window.periods.max(1)) * period);
-            // Overdue by age, then by how far the module's picture is from what is known.
-            let change = (rate - window.told).abs();
-            let age = if overdue { window.periods } else { 0 };
+            let rate = tries / (f64::from(window.pending_periods.max(1)) * period);
+            // Sorted by age if overdue, then by the difference from the rate that the module knows.
+            let change = (rate - window.last_rate).abs();
+            let age = if overdue { window.pending_periods } else { 0 };
             ready.push((std::cmp::Reverse(age), std::cmp::Reverse((change * 1e3) as u64), *key));
         }
         self.shown.ready = ready.len();
-        self.shown.unsure = unsure;
-        if ready.len() > most {
-            ready.select_nth_unstable(most);
-            ready.truncate(most);
+        self.shown.unsure = held_back;
+        if ready.len() > budget {
+            ready.select_nth_unstable(budget);
+            ready.truncate(budget);
         }
         ready.sort_unstable_by_key(|(_, _, key)| *key);
         self.shown.given = ready.len();
-        let given: Vec<Given> = ready.into_iter().filter_map(|(_, _, key)| self.hand_over(key)).collect();
-        self.given.push_back((now, given.len()));
-        let shares = given.iter().map(|given| given.error / given.figures.tries.max(1) as f64);
-        self.shown.error_most = shares.fold(0.0, f64::max);
-        given
+        let output: Vec<Given> = ready.into_iter().filter_map(|(_, _, key)| self.output_line(key)).collect();
+        self.recent_outputs.push_back((now, output.len()));
+        let relative_errors = output.iter().map(|line| line.error / line.figures.tries.max(1) as f64);
+        self.shown.error_most = relative_errors.fold(0.0, f64::max);
+        output
     }
 
-    fn hand_over(&mut self, key: Key) -> Option<Given> {
+    /// Takes the pending counts of a key as one line, extrapolated to missing proxies.
+    fn output_line(&mut self, key: Key) -> Option<Given> {
         let period = self.limits.period;
         let window = self.windows.get_mut(&key)?;
-        let Sum { mut figures, variance, .. } = std::mem::take(&mut window.waiting);
-        let unheard = std::mem::take(&mut window.unheard);
-        let span = period * std::mem::take(&mut window.periods).max(1);
+        let Sum { mut figures, variance, .. } = std::mem::take(&mut window.pending);
+        let missing = std::mem::take(&mut window.missing_tries);
+        let span = period * std::mem::take(&mut window.pending_periods).max(1);
         self.ledger.given += figures.tries;
-        self.waiting -= figures.tries;
-        let known = figures.tries as f64;
-        window.told = (known + unheard) / span.as_secs_f64();
-        // The unheard are taken to lose as the heard do. What they tell instead of us is as uncertain as it is much.
-        let times = if known > 0.0 { 1.0 + unheard / known } else { 1.0 };
-        figures.tries = (known + unheard).round() as u64;
-        figures.lost = (figures.lost as f64 * times).round() as u64;
-        let error = (variance * times * times + unheard * unheard / 4.0).sqrt();
+        self.held_tries -= figures.tries;
+        let reported = figures.tries as f64;
+        window.last_rate = (reported + missing) / span.as_secs_f64();
+        // Missing proxies are assumed to lose the same fraction of tries as the reporting ones. The standard error of
+        // the estimated tries is taken as half their number.
+        let scale = if reported > 0.0 { 1.0 + missing / reported } else { 1.0 };
+        figures.tries = (reported + missing).round() as u64;
+        figures.lost = (figures.lost as f64 * scale).round() as u64;
+        let error = (variance * scale * scale + missing * missing / 4.0).sqrt();
         Some(Given { key, figures, span, error })
     }
 
-    /// Lets go of proxies and keys that nothing is heard of any more.
-    fn forget(&mut self, now: Duration) {
-        let after = self.limits.period * FORGET_AFTER;
-        self.sources.retain(|_, s| s.streams > 0 || now.saturating_sub(s.said.unwrap_or(s.opened)) <= after);
+    /// Drops proxies that were disconnected long ago, and keys without counts for the longest interval of a line.
+    fn forget_inactive(&mut self, now: Duration) {
+        let after = self.limits.period * FORGET_AFTER_PERIODS;
+        self.sources.retain(|_, s| {
+            s.streams > 0 || now.saturating_sub(s.last_report.unwrap_or(s.opened_at)) <= after
+        });
         self.windows.retain(|_, w| {
-            !w.open.is_empty() || w.waiting.figures.tries > 0 || w.unheard > 0.0 || w.periods < PERIODS_MOST
+            !w.open_periods.is_empty()
+                || w.pending.figures.tries > 0
+                || w.missing_tries > 0.0
+                || w.pending_periods < MAX_LINE_PERIODS
         });
     }
 
-    fn look(&mut self, now: Duration, heard: f64) {
+    /// Updates the statistics of proxies. `reported` is the fraction of the expected load that was reported.
+    fn update_shown(&mut self, now: Duration, reported: f64) {
         let mut proxies = [0; 4];
         let mut lags = Vec::with_capacity(self.sources.len());
         for source in self.sources.values() {
             let hearing = source.hearing(now, self.limits.period);
             proxies[hearing as usize] += 1;
             if matches!(hearing, Hearing::Heard | Hearing::Quiet) {
-                lags.push(source.late);
+                lags.push(source.lag);
             }
         }
         lags.sort_unstable();
-        self.shown.heard = heard;
+        self.shown.heard = reported;
         self.shown.proxies = proxies;
         self.shown.lag_most = lags.last().copied().unwrap_or_default();
         self.shown.lag_middle = lags.get(lags.len() / 2).copied().unwrap_or_default();
     }
 
-    /// A slice is no longer ours: what was told of it is another's to use.
+    /// Drops all counts of a slice whose custody has ended: another assigner uses them.
     pub fn drop_slice(&mut self, slice: SliceId) {
-        let (ledger, waiting) = (&mut self.ledger, &mut self.waiting);
+        let (ledger, held_tries) = (&mut self.ledger, &mut self.held_tries);
         self.windows.retain(|key, window| {
-            let ours = !matches!(key, Key::Came { slice: of, .. } if *of == slice);
-            if !ours {
-                let held = window.held();
-                ledger.foreign += held;
-                *waiting -= held;
+            let keep = !matches!(key, Key::Came { slice: of, .. } if *of == slice);
+            if !keep {
+                let dropped = window.held_tries();
+                ledger.foreign += dropped;
+                *held_tries -= dropped;
             }
-            ours
+            keep
         });
     }
 
-    /// How often a proxy should report: those whose reports come late are asked for fewer, so that they catch up.
+    /// How often a proxy should report. Proxies with a great lag are asked for fewer reports, so that they catch up.
     pub fn interval(&self, proxy: ProxyId) -> Duration {
         let period = self.limits.period;
-        let late = self.sources.get(&proxy).map_or(Duration::ZERO, |source| source.late);
-        match late.as_nanos() / period.as_nanos().max(1) {
+        let lag = self.sources.get(&proxy).map_or(Duration::ZERO, |source| source.lag);
+        match lag.as_nanos() / period.as_nanos().max(1) {
             0 | 1 => period,
             2..=4 => period * 2,
             _ => period * 4,
         }
     }
 
+    /// The state of a proxy at `now`; `None` if it is unknown.
     pub fn hearing(&self, now: Duration, proxy: ProxyId) -> Option<Hearing> {
         Some(self.sources.get(&proxy)?.hearing(now, self.limits.period))
     }
 
-    /// Proxies by how they stand, with the lag of each, the worst first.
+    /// All proxies with their states, lags and accepted rates; sorted by state and lag, the worst first.
     pub fn proxies(&self, now: Duration) -> Vec<(ProxyId, Hearing, Duration, Option<f64>)> {
         let one = |(id, source): (&ProxyId, &Source)| {
-            (*id, source.hearing(now, self.limits.period), source.late, source.trust.rate())
+            (*id, source.hearing(now, self.limits.period), source.lag, source.rate_filter.rate())
         };
         let mut all: Vec<_> = self.sources.iter().map(one).collect();
         all.sort_by(|a, b| (b.1, b.2, a.0).cmp(&(a.1, a.2, b.0)));
         all
     }
 
-    /// Too little of the expected load is heard for anything to be given.
+    /// Whether too little of the expected load is reported for any output.
     pub fn blind(&self) -> bool {
-        self.open > 0 && self.shown.heard < self.limits.heard_least
+        self.first_open_period > 0 && self.shown.heard < self.limits.min_coverage
     }
 
-    /// The ordinary time between reports.
+    /// The normal reporting interval.
     pub fn period(&self) -> Duration {
         self.limits.period
     }
 
+    /// The account of all reported tries.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Tries that are held.
+    /// The number of tries held and not output yet.
     pub fn waiting(&self) -> u64 {
-        self.waiting
+        self.held_tries
     }
 
+    /// The number of keys held.
     pub fn keys(&self) -> usize {
         self.windows.len()
     }
 
+    /// Statistics for operators.
     pub fn shown(&self) -> &Shown {
         &self.shown
     }
 
-    /// Adds up what is held, window by window: slow, for tests.
+    /// Counts the tries held, key by key. Slow; for tests.
     pub fn recount(&self) -> u64 {
-        self.windows.values().map(Window::held).sum()
+        self.windows.values().map(Window::held_tries).sum()
     }
 }
 
 impl Window {
-    fn held(&self) -> u64 {
-        self.waiting.figures.tries + self.open.values().map(|sum| sum.figures.tries).sum::<u64>()
+    fn held_tries(&self) -> u64 {
+        self.pending.figures.tries + self.open_periods.values().map(|sum| sum.figures.tries).sum::<u64>()
     }
 }
 
-/// The same report has the same digest, from whichever stream it comes.
+/// A digest of a report's content. It does not depend on the stream that the report arrives on.
 fn digest(told: &Told) -> u64 {
     let mut hasher = DefaultHasher::new();
     told.stretch.hash(&mut hasher);
--- a/crates/whinhill-reports/src/ledger.rs
+++ b/crates/whinhill-reports/src/ledger.rs
@@ -1,33 +1,36 @@
-//! Where every try that was told has gone. What was told is, at any time, the sum of all places.
+//! Accounts for every reported try. The number of reported tries always equals the sum over all outcomes.
 
-/// Counts of tries, but for `reports`, `strange`, `mended` and `thinned`.
+/// Counts of tries, except for `reports`, `strange`, `mended` and `thinned`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
+    /// Reports received.
     pub reports: u64,
+    /// Tries in reports received.
     pub offered: u64,
-    /// In lines that were given to the module.
+    /// Tries in lines output to the module.
     pub given: u64,
-    /// Came after its stretch had been given, or before anything that we still hold.
+    /// Tries that arrived after their period was output, or that lie before the oldest period still held.
     pub late: u64,
-    /// Of a report that had come before.
+    /// Tries of duplicate reports.
     pub repeated: u64,
-    /// Not believed.
+    /// Tries not accepted, because the proxy's rate is an outlier.
     pub doubted: u64,
-    /// Of slices that are no longer ours, or servers without a place.
+    /// Tries of slices that left this assigner's custody, or of keys beyond the maximum number.
     pub foreign: u64,
-    /// Lines that nobody could make out.
+    /// Lines with unknown names.
     pub strange: u64,
-    /// Reports whose own word of their length could not be.
+    /// Reports whose stated interval was impossible and was corrected.
     pub mended: u64,
-    /// Reports that had to be thinned, and the tries that thinning made out of nothing less those that it lost.
+    /// Reports whose downsampling changed their number of tries.
     pub thinned: u64,
+    /// Tries that downsampling added, minus those that it removed.
     pub estimated: i64,
 }
 
 impl Ledger {
-    /// Whether all that was told is somewhere, with `waiting` tries still held.
+    /// Whether all reported tries are accounted for, with `waiting` tries still held.
     pub fn conserved(&self, waiting: u64) -> bool {
-        let placed = self.given + self.late + self.repeated + self.doubted + self.foreign + waiting;
-        self.offered as i128 + i128::from(self.estimated) == i128::from(placed)
+        let accounted = self.given + self.late + self.repeated + self.doubted + self.foreign + waiting;
+        self.offered as i128 + i128::from(self.estimated) == i128::from(accounted)
     }
 }
--- a/crates/whinhill-reports/src/lib.rs
+++ b/crates/whinhill-reports/src/lib.rs
@@ -1,6 +1,6 @@
-//! What proxies tell of their load, made into a bounded number of lines for the decision module. No I/O, no clock.
+//! Merges the load reports of proxies into a bounded number of lines for the decision module. No I/O and no clock.
 //!
-//! The one call that matters is [`Intake::take`] for each report, and [`Intake::give`] once a period:
+//! The main calls are [`Intake::take`] for each report, and [`Intake::give`] once a period:
 //!
 //! ```
 //! use std::time::Duration;
@@ -15,57 +15,62 @@
 //! assert!(intake.ledger().conserved(intake.waiting()));
 //! ```
 //!
-//! A report is put where it happened ([`Clock`]), believed as far as its proxy has earned ([`Trust`]), thinned with a
-//! known error where it is too long ([`thin`]), and merged by key into the stretch that it belongs to. Every try that
-//! was told is in one of the [`Ledger`]'s places at any time. `docs/load-reports.md` weighs the ways.
+//! A report's interval is mapped to the local clock ([`ProxyClock`]). Counts far above those of other proxies are
+//! accepted in part ([`RateFilter`]). A report that is too long is downsampled with a known error ([`downsample`]). Its
+//! lines are then merged by key into the periods that they cover. The [`Ledger`] accounts for every reported try at any
+//! time. `docs/load-reports.md` compares the alternatives.
 
 mod clock;
 mod intake;
 mod ledger;
+mod rate_filter;
 mod sample;
-mod trust;
 
-pub use clock::{Clock, Placed};
+pub use clock::{PlacedInterval, ProxyClock};
 pub use intake::{Given, Hearing, Intake, Limits, Shown};
 pub use ledger::Ledger;
-pub use sample::{thin, Thinned};
-pub use trust::Trust;
+pub use rate_filter::{PeerRates, RateFilter};
+pub use sample::{downsample, Downsampled};
 
 use std::time::Duration;
 use whinhill::interface::{LoadReport, MethodId, ProxyId, SliceId, ZoneId};
 
-/// What a line is about.
+/// What the figures of a line are counted by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// What proxies of a zone met at a server.
+    /// Tries that proxies of a zone sent to a server.
     Met { server: usize, zone: ZoneId },
-    /// What came for a slice.
+    /// Tries of a method for a slice.
     Came { slice: SliceId, method: MethodId },
 }
 
-/// Sums over a stretch.
+/// Sums over an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
+    /// All tries.
     pub tries: u64,
+    /// Tries that were lost.
     pub lost: u64,
+    /// Tries that succeeded.
     pub oks: u64,
-    /// The waits of `oks`, added up, in milliseconds.
+    /// The sum of the waiting times of `oks`, in milliseconds.
     pub wait_ms: f64,
-    /// What the server told of itself last.
+    /// The load that the server reported last.
     pub load: LoadReport,
 }
 
 impl Figures {
+    /// Adds the counts of `other`, and takes its load values where it has any.
     pub fn add(&mut self, other: &Figures) {
         self.tries += other.tries;
         self.lost += other.lost;
         self.oks += other.oks;
         self.wait_ms += other.wait_ms;
-        self.load = other.load_over(self.load);
+        self.load = other.load_or(self.load);
     }
 
-    /// Its servers' own figures, and where one is missing the older one.
-    fn load_over(&self, older: LoadReport) -> LoadReport {
+    /// The load values; a missing one is taken from `older`.
+    fn load_or(&self, older: LoadReport) -> LoadReport {
         LoadReport {
             cpu: self.load.cpu.or(older.cpu),
             in_hand: self.load.in_hand.or(older.in_hand),
@@ -74,9 +79,9 @@
         }
     }
 
-    /// What falls on a part of the stretch, by counts up to its end less counts up to its beginning: parts that lie
-    /// side by side add up to the whole, try by try.
-    fn part(&self, from: f64, to: f64) -> Figures {
+    /// The figures of a part of the interval, as fractions of it from `from` to `to`. A count is the rounded count up to
+    /// the end minus the rounded count up to the start, so that adjacent parts add up exactly to the whole.
+    fn portion(&self, from: f64, to: f64) -> Figures {
         let cut = |count: u64| {
             let at = |share: f64| (count as f64 * share.clamp(0.0, 1.0)).round() as u64;
             at(to) - at(from)
@@ -92,20 +97,26 @@
     }
 }
 
+/// One line of a report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
+    /// What the line counts.
     pub key: Key,
+    /// The counts.
     pub figures: Figures,
 }
 
 /// One proxy's report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
+    /// The proxy that reports.
     pub proxy: ProxyId,
+    /// The proxy's zone.
     pub zone: ZoneId,
-    /// The time that it covers, by the proxy's own clock; `None` or zero where it doesn't say.
+    /// The length of the reporting interval by the proxy's clock; `None` or zero if the report does not state it.
     pub stretch: Option<Duration>,
-    /// Lines that could not be made out: names that nobody knows, slices of others.
+    /// The number of lines left out, because they name unknown servers or slices of other assigners.
     pub strange: u64,
+    /// The lines that could be resolved.
     pub lines: Vec<Line>,
 }
