--- a/crates/whinhill-reports/src/intake.rs
+++ b/crates/whinhill-reports/src/intake.rs
@@ -463,7 +463,7 @@
             coverage.reported = reported_load / expected_load;
         }
         for (family, (reported, missing)) in families {
-            // Extrapolation is bounded. With less coverage than this bound stands for there is no output at all.
+            // Bounds the extrapolation by the ratio at the minimum coverage. With less coverage nothing is output.
             let max_ratio = 1.0 / self.limits.min_coverage - 1.0;
             coverage.missing_per_reported.insert(family, (missing / reported.max(1e-9)).min(max_ratio));
         }
--- a/crates/whinhill-reports/src/lib.rs
+++ b/crates/whinhill-reports/src/lib.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The figures of a part of the interval, as fractions of it from `from` to `to`. A count is the rounded count up to
-    /// the end minus the rounded count up to the start, so that adjacent parts add up exactly to the whole.
+    /// The figures of the part of the interval between the fractions `from` and `to`. A count is the rounded count up
+    /// to the end minus the rounded count up to the start, so that adjacent parts add up exactly to the whole.
     fn portion(&self, from: f64, to: f64) -> Figures {
         let cut = |count: u64| {
             let at = |share: f64| (count as f64 * share.clamp(0.0, 1.0)).round() as u64;
--- a/crates/whinhill-tables/src/keeper.rs
+++ b/crates/whinhill-tables/src/keeper.rs
@@ -31,7 +31,7 @@
 pub struct BatchOutcome {
     /// Slices whose published table has changed.
     pub slices: BTreeSet<SliceId>,
-    /// Whether the batch had a safety order: writes were stopped, or a line was taken away.
+    /// Whether the batch had a safety order: one that stopped writes or revoked an owner.
     pub safety: bool,
     /// Grants to store. See [`Keeper::granted`].
     pub grants: Vec<PendingGrant>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// Sets the share of the methods in the mask; an empty mask stands for all methods. Returns true if this stops a
+/// Sets the share of the methods in the mask; a mask of 0 stands for all methods. Returns true if this stops a
 /// method that writes.
 fn set_shares(table: &mut SliceTable, share: f64, methods: MethodMask, writes: &[bool]) -> bool {
     let mut stopped = false;
--- a/crates/whinhill-tables/src/rollback.rs
+++ b/crates/whinhill-tables/src/rollback.rs
@@ -1,4 +1,4 @@
-//! Rollback to an older set, without ever giving a slice back to a former owner past a later one. No I/O.
+//! Rollback to an older set, without ever giving a slice to a former owner while a later owner still has it. No I/O.
 //!
 //! A rollback publishes nothing by itself. Owners change only by the module's handover (stop writes, wait for every
 //! proxy's answer or the end of its lease, settle, grant). So for each slice with another owner a *move* is requested,
@@ -20,7 +20,7 @@
 pub enum Standing {
     /// It can take slices.
     Ready,
-    /// It is warming up and receives slices bit by bit.
+    /// It is warming up and receives slices gradually.
     Cold,
     /// It is unhealthy.
     Sick,
@@ -184,8 +184,8 @@
     pub to: u64,
     /// The operator who requested it.
     pub by: String,
-    /// When the moves that are not done are abandoned. On the assigner's clock since the start at which the rollback was
-    /// requested or resumed.
+    /// When moves that are not done are abandoned, on the assigner's clock. The clock is that of the process in which
+    /// the rollback was requested or last resumed.
     #[serde(rename = "until")]
     expires_at: Duration,
     /// The time limit that `expires_at` was computed from.
@@ -212,7 +212,8 @@
 }
 
 impl Rollback {
-    /// Starts the rollback that [`dry_run`] planned, at `now`. Moves that are not done `within` that time are abandoned.
+    /// Starts the rollback that [`dry_run`] planned, at `now`. Moves that are not done `within` that time are
+    /// abandoned.
     pub fn new(
         id: u64,
         to: u64,
@@ -238,8 +239,8 @@
         }
     }
 
-    /// Evaluates all moves against the current set. Returns the moves to request from the module. Each is returned once,
-    /// and again only after [`Rollback::put_back`] or [`Rollback::recovered`].
+    /// Evaluates all moves against the current set. Returns the moves to request from the module. Each is returned
+    /// once, and again only after [`Rollback::put_back`] or [`Rollback::recovered`].
     pub fn look(&mut self, now: Duration, set: &TableSet, fleet: &impl Fleet) -> Vec<(SliceId, ServerName)> {
         let mut requests = Vec::new();
         for (&slice, state) in &mut self.moves {
