--- a/crates/whinhill-node/src/accepting.rs
+++ b/crates/whinhill-node/src/accepting.rs
@@ -1,4 +1,4 @@
-//! The listen queue, and places for whoever waits in it.
+//! The listen queue, and connection slots for the clients that wait in it.
 
 use std::io;
 
@@ -8,212 +8,219 @@
 use tracing::debug;
 use whinhill_platform::peer::ERROR;
 
-use crate::clients::Refusal;
-use crate::connection::{Connection, Kind, Stage};
+use crate::clients::RefusalReason;
+use crate::connection::{ClientStage, Connection, ConnectionKind};
 use crate::connections::Id;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::limits::*;
 use crate::node::Node;
 
-/// Why the listen queue is looked at.
+/// Why the listen queue is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
-    /// The poll told that somebody waits.
-    Told,
-    /// Somebody may still wait after the last look.
-    Again,
-    /// It is time for a look at everything.
-    Untold,
+pub enum AcceptTrigger {
+    /// The poll reported a client.
+    Readiness,
+    /// A client may still be waiting since the last check.
+    Retry,
+    /// All sockets are checked periodically.
+    PeriodicCheck,
 }
 
-/// Whether there is a place for one more client.
+/// Whether there is a slot for another client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Free,
-    /// Clients that have one give it up with their next answers.
+enum SlotAvailability {
+    /// A slot is free.
+    Now,
+    /// Clients that have one are closed after their next answers.
     Soon,
-    /// Collectors hold them all.
+    /// Collectors occupy all slots.
     Never,
 }
 
-/// A filter of one instruction, "return 0 bytes" (BPF_RET | BPF_K, socket(7), SO_ATTACH_FILTER).
+/// A socket filter of one instruction, "return 0 bytes" (BPF_RET | BPF_K, socket(7), SO_ATTACH_FILTER).
 const DROP_ALL: SockFilter = SockFilter::new(0x06, 0, 0, 0);
 
 impl Node {
-    /// Takes whoever waits in the listen queue, until it seems empty several times in a row: a call may say too
-    /// early that it would block.
-    pub fn accept(&mut self, look: Look) {
-        let looks = if look == Look::Untold { ACCEPT_LOOKS_UNTOLD } else { ACCEPT_LOOKS };
-        let (mut failures, mut empty, mut taken, mut missed) = (0, 0, 0, false);
-        // Somebody was left in the queue for want of a place: to find more there is no surprise.
-        let expected = look == Look::Told || self.next_client.is_some();
-        while failures < ACCEPT_FAILURES_MOST && empty < looks && self.seat_next() {
+    /// Accepts clients until the listen queue seems empty several times in a row: a call may wrongly return
+    /// `WouldBlock`.
+    pub fn accept_clients(&mut self, trigger: AcceptTrigger) {
+        let max_empty =
+            if trigger == AcceptTrigger::PeriodicCheck { PERIODIC_ACCEPT_ATTEMPTS } else { ACCEPT_ATTEMPTS };
+        let (mut failures, mut empty, mut accepted_count, mut missed) = (0, 0, 0, false);
+        // A client was left in the queue for want of a slot, so finding more is expected.
+        let expected = trigger == AcceptTrigger::Readiness || self.waiting_client.is_some();
+        while failures < MAX_ACCEPT_FAILURES && empty < max_empty && self.assign_slot() {
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
                 Ok(accepted) => {
                     missed |= empty > 0 || !expected;
-                    (empty, taken) = (0, taken + 1);
-                    self.next_client = Some(accepted);
+                    (empty, accepted_count) = (0, accepted_count + 1);
+                    self.waiting_client = Some(accepted);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => empty += 1,
-                // A signal, or the client has gone: the next may be there.
+                // Interrupted by a signal, or the client has gone; the next may be waiting.
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) =>
                 {
-                    self.counts.accepts_interrupted += 1;
+                    self.counters.accepts_interrupted += 1;
                     failures += 1;
                 }
                 Err(error) => {
-                    self.counts.accepts_failed += 1;
-                    self.failures.log("accept", &error);
-                    // Only descriptors of our own are freed by a close of ours. The rest passes, or does not.
+                    self.counters.accept_failures += 1;
+                    self.failure_log.log("accept", &error);
+                    // Only a lack of descriptors of this process can be resolved by closing a connection. Other
+                    // failures either pass or do not.
                     failures += 1;
-                    if self.is_out_of_descriptors(&error) && self.make_place() == Place::Free {
+                    if self.is_out_of_descriptors(&error) && self.free_slot() == SlotAvailability::Now {
                         failures = 0;
                     }
                 }
             }
         }
-        self.counts.accepts_missed += u64::from(missed);
-        // Told of somebody and nobody was there: the call may have said so too early.
-        self.accept_looks_left = match look {
-            Look::Told if taken == 0 => ACCEPT_LOOKS_AGAIN,
-            _ if missed => ACCEPT_LOOKS_AGAIN,
-            _ => self.accept_looks_left.saturating_sub(1),
+        self.counters.accepts_missed += u64::from(missed);
+        // The poll reported a client and none was found: the call may have wrongly returned `WouldBlock`.
+        self.accept_retries_left = match trigger {
+            AcceptTrigger::Readiness if accepted_count == 0 => ACCEPT_RETRIES,
+            _ if missed => ACCEPT_RETRIES,
+            _ => self.accept_retries_left.saturating_sub(1),
         };
-        if self.accept_looks_left > 0 || failures > 0 || self.next_client.is_some() {
-            self.deadlines.set(Due::Accept, self.clock.now() + ACCEPT_AGAIN);
+        if self.accept_retries_left > 0 || failures > 0 || self.waiting_client.is_some() {
+            self.deadlines.set(DeadlineKind::RetryAccept, self.clock.now() + ACCEPT_RETRY_DELAY);
         }
     }
 
-    /// Gives the client that was accepted last its place; false: it has to wait for one.
-    fn seat_next(&mut self) -> bool {
-        if self.next_client.is_none() {
+    /// Gives the client that was accepted last a slot; `false` if it has to wait for one.
+    fn assign_slot(&mut self) -> bool {
+        if self.waiting_client.is_none() {
             return true;
         }
-        let place = if self.peers < self.peers_most { Place::Free } else { self.make_place() };
-        let Some((stream, remote)) = self.next_client.take_if(|_| place != Place::Soon) else { return false };
+        let slot =
+            if self.client_count < self.max_clients { SlotAvailability::Now } else { self.free_slot() };
+        let Some((stream, remote)) = self.waiting_client.take_if(|_| slot != SlotAvailability::Soon) else {
+            return false;
+        };
         let connection = Connection::accepted(stream, remote, self.clock.now());
-        if place == Place::Free {
-            self.take_client(connection);
+        if slot == SlotAvailability::Now {
+            self.add_client(connection);
         } else {
-            self.turn_away(connection);
+            self.reject_client(connection);
         }
         true
     }
 
-    fn take_client(&mut self, connection: Connection) {
+    fn add_client(&mut self, connection: Connection) {
         let remote = connection.remote;
         let id = self.connections.insert(connection);
-        (self.peers, self.strangers) = (self.peers + 1, self.strangers + 1);
-        self.counts.accepted += 1;
+        (self.client_count, self.unjoined_count) = (self.client_count + 1, self.unjoined_count + 1);
+        self.counters.accepted += 1;
         debug!(?id, %remote, "accepted");
-        self.deadlines.set(Due::Connection(id), self.clock.now() + JOIN_WITHIN);
+        self.deadlines.set(DeadlineKind::ConnectionTimeout(id), self.clock.now() + JOIN_TIMEOUT);
         self.register_client(id);
     }
 
-    /// Has the poll tell of a client; where that fails for a moment it is tried again.
+    /// Registers a client with the poll; a failure is retried.
     pub fn register_client(&mut self, id: Id) {
         if self.connections.get(id).is_some() && !self.register(id) {
-            self.deadlines.set(Due::Register(id), self.clock.now() + REGISTER_AGAIN);
+            self.deadlines.set(DeadlineKind::RetryRegister(id), self.clock.now() + REGISTER_RETRY_DELAY);
         }
     }
 
-    /// All places are taken by collectors: the client is answered, and that is all.
-    fn turn_away(&mut self, mut connection: Connection) {
-        self.counts.turned_away += 1;
-        connection.discard(DISCARD_MOST);
+    /// Collectors occupy all slots: sends the client an error and closes its connection.
+    fn reject_client(&mut self, mut connection: Connection) {
+        self.counters.clients_rejected += 1;
+        connection.discard(MAX_DISCARDED_BYTES);
         if connection.send(ERROR).is_err() || !connection.all_written() {
-            self.counts.closed_unanswered += 1;
+            self.counters.closed_unanswered += 1;
         }
     }
 
-    /// Looks for a place: that of a client that has had its last answer, else of the stranger that has been silent
-    /// for longest. Where all are busy asking, those that have been there longest give theirs up with their next
-    /// answer, so that none loses a request that is on its way.
-    fn make_place(&mut self) -> Place {
-        let closing = self.connections.iter().filter(|(_, c)| c.has_had_all());
-        if let Some((id, _)) = closing.min_by_key(|(id, c)| (c.opened, *id)) {
-            // With nothing left to read the close resets no answer.
-            self.connections.get_mut(id).into_iter().for_each(|c| c.discard(DISCARD_MOST));
+    /// Frees a slot: that of a client that was sent its last answer, or else of the unjoined client that has been
+    /// silent for longest. Where all are sending requests, those that have been connected for longest are closed
+    /// after their next answers, so that no request on its way is lost.
+    fn free_slot(&mut self) -> SlotAvailability {
+        let closing = self.connections.iter().filter(|(_, c)| c.is_closing_and_written());
+        if let Some((id, _)) = closing.min_by_key(|(id, c)| (c.opened_at, *id)) {
+            // With nothing left to read, closing does not reset the connection under the answer.
+            self.connections.get_mut(id).into_iter().for_each(|c| c.discard(MAX_DISCARDED_BYTES));
             self.close_client(id);
-            return Place::Free;
+            return SlotAvailability::Now;
         }
-        self.evict_idle_stranger().unwrap_or_else(|| self.ask_strangers_to_leave())
+        self.evict_idle_unjoined().unwrap_or_else(|| self.close_unjoined_after_answers())
     }
 
-    /// Closes the stranger that has been silent for longest, after a look at what it has sent: in a crowd that
-    /// arrives at once, a collector's first message may be waiting to be read. `None`: none is idle.
-    fn evict_idle_stranger(&mut self) -> Option<Place> {
+    /// Closes the unjoined client that has been silent for longest, after reading what it has sent: when many
+    /// connect at once, a collector's first message may still be unread. `None` if none is idle.
+    fn evict_idle_unjoined(&mut self) -> Option<SlotAvailability> {
         loop {
-            let strangers = self.connections.iter().filter(|(_, c)| c.is_stranger());
-            let idle_since = strangers.map(|(id, c)| (c.heard_at, id));
-            let (heard_at, id) = idle_since.min()?;
-            if self.clock.now() < heard_at + EVICT_IDLE {
+            let unjoined = self.connections.iter().filter(|(_, c)| c.is_unjoined_client());
+            let by_idle_since = unjoined.map(|(id, c)| (c.last_received_at, id));
+            let (last_received_at, id) = by_idle_since.min()?;
+            if self.clock.now() < last_received_at + MIN_EVICTION_IDLE {
                 return None;
             }
-            let heard = self.readable(id);
-            let Some(connection) = self.connections.get(id) else { return Some(Place::Free) };
-            if matches!(connection.kind, Kind::Client { .. }) {
-                if heard || connection.joined() {
+            let received = self.read_available(id);
+            let Some(connection) = self.connections.get(id) else { return Some(SlotAvailability::Now) };
+            if matches!(connection.kind, ConnectionKind::Client { .. }) {
+                if received || connection.has_joined() {
                     continue;
                 }
-                self.refuse(id, Refusal::CrowdedOut);
+                self.refuse(id, RefusalReason::CrowdedOut);
             }
-            // It has been refused, now or for what it had sent, and goes once it has been told.
-            if self.connections.get(id).is_some_and(|c| !c.has_had_all()) {
-                return Some(Place::Soon);
+            // It was refused, now or for what it had sent, and is closed once the error was written.
+            if self.connections.get(id).is_some_and(|c| !c.is_closing_and_written()) {
+                return Some(SlotAvailability::Soon);
             }
             self.close_client(id);
-            return Some(Place::Free);
+            return Some(SlotAvailability::Now);
         }
     }
 
-    /// Has a few strangers, those that have been there longest, end with their next answers.
-    fn ask_strangers_to_leave(&mut self) -> Place {
+    /// Marks a few unjoined clients, those connected for longest, to be closed after their next answers.
+    fn close_unjoined_after_answers(&mut self) -> SlotAvailability {
         let stage = |connection: &Connection| match &connection.kind {
-            Kind::Client { peer, stage } if !peer.joined() => Some(*stage),
-            Kind::Closing { .. } => Some(Stage::Answered),
+            ConnectionKind::Client { peer, stage } if !peer.joined() => Some(*stage),
+            ConnectionKind::Closing { .. } => Some(ClientStage::LastAnswerSent),
             _ => None,
         };
         let mut open = Vec::new();
-        let mut leaving = 0;
+        let mut closing = 0;
         for (id, connection) in self.connections.iter() {
             match stage(connection) {
-                Some(Stage::Open) => open.push((connection.opened, id)),
-                Some(_) => leaving += 1,
+                Some(ClientStage::Open) => open.push((connection.opened_at, id)),
+                Some(_) => closing += 1,
                 None => {}
             }
         }
-        if open.is_empty() && leaving == 0 {
-            return Place::Never;
+        if open.is_empty() && closing == 0 {
+            return SlotAvailability::Never;
         }
         open.sort_unstable();
-        for (_, id) in open.into_iter().take(LEAVING_MOST.saturating_sub(leaving)) {
-            self.set_stage(id, Stage::Leaving);
+        for (_, id) in open.into_iter().take(MAX_CLOSING_FOR_SLOTS.saturating_sub(closing)) {
+            self.set_stage(id, ClientStage::CloseAfterAnswer);
         }
-        Place::Soon
+        SlotAvailability::Soon
     }
 
-    /// Has the system drop the first packet of whoever wants to connect from now on: it is sent again after a second,
-    /// and finds the next process. Who is in the queue stays there, so that it can be emptied before the listener
-    /// closes: what comes between the last look and the close would be reset. (A backlog of 0 would not do: clients
-    /// whose last packet of the handshake finds the queue full think that they are connected.)
-    pub fn hold_back_clients(&self) {
+    /// Makes the system drop the first packet of new connections. Their systems send it again after a second, and
+    /// it then reaches the next process. Clients that are in the queue stay there, so that it can be emptied before
+    /// the listener is closed; without the filter, connections that come between the last `accept` and the close
+    /// would be reset. (A backlog of 0 does not help: clients whose last packet of the handshake finds the queue
+    /// full believe that they are connected.)
+    pub fn drop_new_connections(&self) {
         let Some(listener) = &self.listener else { return };
         if let Err(error) = SockRef::from(listener).attach_filter(&[DROP_ALL]) {
             debug!("attach a filter: {error}");
         }
     }
 
-    /// Takes all that still wait, whatever places there are, and listens no more: what the queue holds after that
-    /// is reset.
+    /// Accepts all clients that still wait, whatever the number of slots, and closes the listener. Connections that
+    /// the queue holds after that are reset.
     pub fn stop_listening(&mut self) {
-        self.hold_back_clients();
+        self.drop_new_connections();
         let Some(listener) = self.listener.take() else { return };
-        let mut accepted: Vec<_> = self.next_client.take().into_iter().collect();
+        let mut accepted: Vec<_> = self.waiting_client.take().into_iter().collect();
         let mut empty = 0;
-        while empty < ACCEPT_LOOKS && accepted.len() < LAST_CLIENTS_MOST {
+        while empty < ACCEPT_ATTEMPTS && accepted.len() < MAX_FINAL_ACCEPTS {
             match listener.accept() {
                 Ok(client) => {
                     empty = 0;
@@ -225,17 +232,18 @@
         drop(listener);
         let now = self.clock.now();
         for (stream, remote) in accepted {
-            self.take_client(Connection::accepted(stream, remote, now));
+            self.add_client(Connection::accepted(stream, remote, now));
         }
     }
 
-    /// Whether this process holds as many descriptors as it may: there is none for a copy of the listener either.
+    /// Whether this process has reached its limit of descriptors, in which case the listener cannot be duplicated
+    /// either.
     fn is_out_of_descriptors(&self, error: &io::Error) -> bool {
-        let told = error.raw_os_error() == Some(Errno::MFILE.raw_os_error());
-        let listener = self.listener.as_ref().filter(|_| told);
+        let limit_reported = error.raw_os_error() == Some(Errno::MFILE.raw_os_error());
+        let listener = self.listener.as_ref().filter(|_| limit_reported);
         listener.is_some_and(|listener| matches!(fcntl_dupfd_cloexec(listener, 0), Err(Errno::MFILE)))
     }
 }
 
-/// A connection that was accepted and has no place yet.
-pub type NextClient = (TcpStream, std::net::SocketAddr);
+/// A connection that was accepted and has no slot yet.
+pub type AcceptedClient = (TcpStream, std::net::SocketAddr);
--- a/crates/whinhill-node/src/clients.rs
+++ b/crates/whinhill-node/src/clients.rs
@@ -1,223 +1,231 @@
-//! What clients of the assigner's address are answered, and how their connections end.
+//! Answers to clients of the assigner's address, and the ends of their connections.
 
 use tracing::{debug, info};
 use whinhill_platform::peer::{Heard, ALIVE, ERROR};
 
-use crate::connection::{Connection, Kind, Stage};
+use crate::connection::{ClientStage, Connection, ConnectionKind};
 use crate::connections::Id;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::limits::*;
 use crate::node::Node;
 
-/// Why a client is answered with an error and closed.
+/// Why a client is answered with an error and closed. The variants are logged by `Debug`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// It sends what is no message.
+pub enum RefusalReason {
+    /// It sent something that is no message.
     Unreadable,
-    /// It has not joined, and asked nothing for too long.
+    /// It has not joined, and has sent no request for too long.
     Silent,
-    /// Others need its place.
+    /// Other clients need its slot.
     CrowdedOut,
 }
 
 impl Node {
-    /// Answers with an error, and ends the connection once that has left and the client has ended its side, or when
-    /// that takes too long.
-    pub fn refuse(&mut self, id: Id, why: Refusal) {
+    /// Sends an error, and closes the connection once that was written and the client has closed its side, or after
+    /// a timeout.
+    pub fn refuse(&mut self, id: Id, why: RefusalReason) {
         if self.send_error(id, why) {
             self.begin_close(id);
         }
     }
 
-    /// Tells a client that it has been silent for too long. It may still ask: a request that crosses this is
-    /// answered.
-    pub fn warn(&mut self, id: Id) {
-        if self.send_error(id, Refusal::Silent) {
-            self.set_stage(id, Stage::Warned);
-            self.deadlines.set(Due::Connection(id), self.clock.now() + WARNED_WITHIN);
+    /// Sends a client an error for having been silent for too long. It may still send a request: one that crosses
+    /// the error is answered.
+    pub fn warn_silent_client(&mut self, id: Id) {
+        if self.send_error(id, RefusalReason::Silent) {
+            self.set_stage(id, ClientStage::Warned);
+            self.deadlines.set(DeadlineKind::ConnectionTimeout(id), self.clock.now() + WARNED_CLIENT_TIMEOUT);
         }
     }
 
-    /// False: it could not be told, and is closed.
-    fn send_error(&mut self, id: Id, why: Refusal) -> bool {
+    /// Sends an error; `false` if that fails and the client was closed.
+    fn send_error(&mut self, id: Id, why: RefusalReason) -> bool {
         let Some(connection) = self.connections.get_mut(id) else { return false };
         debug!(?id, remote = %connection.remote, "refused: {why:?}");
         match why {
-            Refusal::Unreadable => self.counts.refused_unreadable += 1,
-            Refusal::Silent => self.counts.refused_silent += 1,
-            Refusal::CrowdedOut => self.counts.refused_crowded_out += 1,
+            RefusalReason::Unreadable => self.counters.refused_unreadable += 1,
+            RefusalReason::Silent => self.counters.refused_silent += 1,
+            RefusalReason::CrowdedOut => self.counters.refused_crowded_out += 1,
         }
-        connection.answers.queue_unasked(ERROR.len());
+        connection.pending_answers.queue_other(ERROR.len());
         match connection.send(ERROR) {
-            Ok(outgoing) => self.flushed(id, Ok(outgoing)),
+            Ok(outcome) => self.handle_write_outcome(id, Ok(outcome)),
             Err(error) => {
-                debug!(?id, "it cannot be told: {error}");
+                debug!(?id, "the error cannot be sent: {error}");
                 self.close_client(id);
             }
         }
         self.connections.get(id).is_some()
     }
 
-    pub fn set_stage(&mut self, id: Id, new: Stage) {
-        if let Some(Connection { kind: Kind::Client { stage, .. }, .. }) = self.connections.get_mut(id) {
+    /// Sets the stage of a client.
+    pub fn set_stage(&mut self, id: Id, new: ClientStage) {
+        if let Some(Connection { kind: ConnectionKind::Client { stage, .. }, .. }) =
+            self.connections.get_mut(id)
+        {
             *stage = new;
         }
     }
 
-    /// Nothing more is answered: writes what is left, ends our side, and waits for the client's end.
+    /// Answers nothing more: writes the remaining output, shuts down the sending side, and waits for the client to
+    /// close.
     pub fn begin_close(&mut self, id: Id) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Kind::Client { peer, .. } = &connection.kind else { return };
-        self.strangers -= usize::from(!peer.joined());
-        connection.kind = Kind::Closing { discarded: 0 };
-        connection.end_writing();
-        self.deadlines.set(Due::Connection(id), self.clock.now() + CLOSE_WITHIN);
+        let ConnectionKind::Client { peer, .. } = &connection.kind else { return };
+        self.unjoined_count -= usize::from(!peer.joined());
+        connection.kind = ConnectionKind::Closing { discarded: 0 };
+        connection.shut_down_writes();
+        self.deadlines.set(DeadlineKind::ConnectionTimeout(id), self.clock.now() + CLOSE_TIMEOUT);
     }
 
-    /// Ends a connection whose client has had its last answer, once all that had arrived is answered.
-    pub fn end_after_answer(&mut self, id: Id) {
+    /// Begins to close a connection whose client was sent its last answer, once everything that had arrived is
+    /// answered.
+    pub fn close_after_last_answer(&mut self, id: Id) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if !matches!(connection.kind, Kind::Client { stage: Stage::Answered, .. }) {
+        if !matches!(connection.kind, ConnectionKind::Client { stage: ClientStage::LastAnswerSent, .. }) {
             return;
         }
-        if connection.is_unfinished() {
-            connection.put_off_end();
+        if connection.has_partial_message() {
+            connection.uncork();
         } else {
             self.begin_close(id);
         }
     }
 
-    /// A client that has had its last answer goes on to send.
-    pub fn discard(&mut self, id: Id, bytes: usize) {
-        let Some(Connection { kind: Kind::Closing { discarded }, .. }) = self.connections.get_mut(id) else {
+    /// A client that was sent its last answer has sent more.
+    pub fn discard_from_closing(&mut self, id: Id, bytes: usize) {
+        let Some(Connection { kind: ConnectionKind::Closing { discarded }, .. }) =
+            self.connections.get_mut(id)
+        else {
             return;
         };
         if *discarded == 0 {
-            self.counts.sent_after_end += 1;
-            debug!(?id, bytes, "it sends on after its last answer");
+            self.counters.sent_after_last_answer += 1;
+            debug!(?id, bytes, "data received after the last answer");
         }
         *discarded += bytes;
-        if *discarded > DISCARD_MOST {
+        if *discarded > MAX_DISCARDED_BYTES {
             self.close_client(id);
         }
     }
 
-    /// Closes a client's connection, and counts it if an answer is still to be written.
+    /// Closes a client's connection, and counts it if an answer was not written.
     pub fn close_client(&mut self, id: Id) {
         let Some(connection) = self.close(id) else { return };
-        let owed = connection.answers.owed();
-        self.counts.unanswered += owed as u64;
-        self.counts.closed_unanswered += u64::from(!connection.all_written());
-        if owed > 0 {
-            self.failures.log_close(id, &connection, "closed by us under a request");
+        let pending = connection.pending_answers.count();
+        self.counters.requests_unanswered += pending as u64;
+        self.counters.closed_unanswered += u64::from(!connection.all_written());
+        if pending > 0 {
+            self.failure_log.log_close(id, &connection, "closed before a request was answered");
         }
-        debug!(?id, owed, "closed");
+        debug!(?id, owed = pending, "closed");
     }
 
-    /// A client ended its side: what it has asked is still answered, and half a message gets an error.
-    pub fn client_ended(&mut self, id: Id) {
+    /// A client closed its side. Its requests are still answered, and a partial message is answered with an error.
+    pub fn handle_client_eof(&mut self, id: Id) {
         let Some(connection) = self.connections.get(id) else { return };
         match &connection.kind {
-            Kind::Client { peer, .. } if peer.unfinished() && !peer.joined() => {
-                self.refuse(id, Refusal::Unreadable);
+            ConnectionKind::Client { peer, .. } if peer.unfinished() && !peer.joined() => {
+                self.refuse(id, RefusalReason::Unreadable);
             }
-            Kind::Client { .. } if !connection.all_written() => self.begin_close(id),
+            ConnectionKind::Client { .. } if !connection.all_written() => self.begin_close(id),
             _ => {
-                debug!(?id, "ended by the client");
+                debug!(?id, "closed by the client");
                 self.close(id);
             }
         }
     }
 
-    pub fn client_bytes(&mut self, id: Id, bytes: &[u8]) {
+    /// Bytes arrived from a client.
+    pub fn handle_client_bytes(&mut self, id: Id, bytes: &[u8]) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.heard_at = now;
-        let Kind::Client { peer, .. } = &mut connection.kind else { return };
-        let (mut heard, was_joined) = (Vec::new(), peer.joined());
-        let taken = peer.take(bytes, &self.names, &mut heard);
-        let (mut asked, mut zone) = (0, None);
-        for heard in heard {
-            match heard {
+        connection.last_received_at = now;
+        let ConnectionKind::Client { peer, .. } = &mut connection.kind else { return };
+        let (mut messages, was_joined) = (Vec::new(), peer.joined());
+        let result = peer.take(bytes, &self.names, &mut messages);
+        let (mut requests, mut zone) = (0, None);
+        for message in messages {
+            match message {
                 Heard::Report(event) => {
-                    self.counts.reports += 1;
-                    self.pending.push(event);
+                    self.counters.reports += 1;
+                    self.pending_events.push(event);
                 }
-                Heard::AreYouAlive => asked += 1,
+                Heard::AreYouAlive => requests += 1,
                 Heard::Joined(joined) => zone = Some(joined),
-                Heard::Dropped(spoilt) => {
-                    self.counts.spoilt += 1;
-                    debug!("dropped a report: {spoilt}");
+                Heard::Dropped(error) => {
+                    self.counters.reports_dropped += 1;
+                    debug!("report dropped: {error}");
                 }
             }
         }
         if zone.is_some() && !was_joined {
-            self.strangers -= 1;
-            self.deadlines.clear(Due::Connection(id));
-            self.bound_collectors(id);
+            self.unjoined_count -= 1;
+            self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
+            self.limit_collectors(id);
         }
-        if asked > 0 && !self.answer(id, asked) {
+        if requests > 0 && !self.answer_alive(id, requests) {
             return;
         }
-        if let Err(why) = taken {
+        if let Err(why) = result {
             if zone.is_some() || was_joined {
-                info!("a collector is refused: {why}");
+                info!("collector refused: {why}");
             }
-            self.refuse(id, Refusal::Unreadable);
+            self.refuse(id, RefusalReason::Unreadable);
         }
     }
 
-    /// Answers requests for a sign of life; false: the client does not read its answers, and is closed.
-    fn answer(&mut self, id: Id, asked: usize) -> bool {
-        let (now, serves_all) = (self.clock.now(), self.serves_all());
+    /// Answers requests for a sign of life; `false` if the client does not read its answers and was closed.
+    fn answer_alive(&mut self, id: Id, requests: usize) -> bool {
+        let (now, keeps_all_connections) = (self.clock.now(), self.keeps_all_connections());
         let Some(connection) = self.connections.get_mut(id) else { return false };
-        self.counts.requests += asked as u64;
-        connection.asked_at = Some(now);
-        (0..asked).for_each(|_| connection.answers.queue(now, ALIVE.len()));
-        let stays = match connection.kind {
-            Kind::Client { stage: Stage::Open, .. } => true,
-            Kind::Client { stage: Stage::Warned, .. } => serves_all,
+        self.counters.requests += requests as u64;
+        connection.last_request_at = Some(now);
+        (0..requests).for_each(|_| connection.pending_answers.queue_answer(now, ALIVE.len()));
+        let keeps_open = match connection.kind {
+            ConnectionKind::Client { stage: ClientStage::Open, .. } => true,
+            ConnectionKind::Client { stage: ClientStage::Warned, .. } => keeps_all_connections,
             _ => false,
         };
-        let last = !stays || self.last_answers;
-        let answers = ALIVE.repeat(asked);
-        let sent = if last { connection.send_with_end(&answers) } else { connection.send(&answers) };
-        let Ok(outgoing) = sent else {
-            debug!(?id, "closed: it does not read its answers");
-            self.counts.closed_unread += 1;
+        let last = !keeps_open || self.close_after_answer;
+        let answers = ALIVE.repeat(requests);
+        let sent = if last { connection.send_before_shutdown(&answers) } else { connection.send(&answers) };
+        let Ok(outcome) = sent else {
+            debug!(?id, "closed: the client does not read its answers");
+            self.counters.closed_unread += 1;
             self.close(id);
             return false;
         };
-        if let Kind::Client { peer, stage } = &mut connection.kind {
+        if let ConnectionKind::Client { peer, stage } = &mut connection.kind {
             if last {
-                *stage = Stage::Answered;
+                *stage = ClientStage::LastAnswerSent;
             } else {
-                *stage = Stage::Open;
+                *stage = ClientStage::Open;
                 if !peer.joined() {
-                    // Whoever asks is not silent.
-                    self.deadlines.set(Due::Connection(id), now + JOIN_WITHIN);
+                    // A client that sends requests is not silent.
+                    self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now + JOIN_TIMEOUT);
                 }
             }
         }
-        self.flushed(id, Ok(outgoing));
+        self.handle_write_outcome(id, Ok(outcome));
         self.connections.get(id).is_some()
     }
 
-    /// A collector that lost its connection comes back on a new one; the old may never tell that it ended. The one
-    /// that joined last stays, though it may have connected first.
-    fn bound_collectors(&mut self, newest: Id) {
-        if self.serves_all() {
+    /// A collector that lost its connection comes back on a new one, and the end of the old one may go unnoticed.
+    /// The one that joined last stays, even if it connected first.
+    fn limit_collectors(&mut self, newest: Id) {
+        if self.keeps_all_connections() {
             return;
         }
         let zone = |c: &Connection| match &c.kind {
-            Kind::Client { peer, .. } => peer.zone(),
+            ConnectionKind::Client { peer, .. } => peer.zone(),
             _ => None,
         };
         let wanted = self.connections.get(newest).and_then(zone);
         let same = || self.connections.iter().filter(|(_, c)| wanted.is_some() && zone(c) == wanted);
-        if same().count() > COLLECTORS_MOST {
+        if same().count() > MAX_COLLECTORS_PER_ZONE {
             let others = same().filter(|(id, _)| *id != newest);
-            let oldest = others.min_by_key(|(_, c)| c.opened).map(|(id, _)| id);
+            let oldest = others.min_by_key(|(_, c)| c.opened_at).map(|(id, _)| id);
             oldest.into_iter().for_each(|id| self.close_client(id));
         }
     }
--- a/crates/whinhill-node/src/clock.rs
+++ b/crates/whinhill-node/src/clock.rs
@@ -1,28 +1,31 @@
-//! The module's time: Unix time at the start, carried on by the monotonic clock, whatever becomes of the wall clock.
-//! Beside it, where the wall clock stands, by which others stamp what they tell.
+//! The module's time: Unix time at the start, advanced by the monotonic clock, so that steps of the wall clock do
+//! not affect it. Also gives the current wall-clock time, to which timestamps from others refer.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// From this on the wall clock was stepped rather than slewed: a slew runs at half a millisecond a second.
-const STEP_LEAST: Duration = Duration::from_millis(250);
+/// A smaller change of the wall clock counts as a slew, not a step: slewing runs at half a millisecond a second.
+const MIN_STEP: Duration = Duration::from_millis(250);
 
+/// A monotonic clock that starts at Unix time.
 #[derive(Debug)]
 pub struct Clock {
-    unix: Duration,
-    started: Instant,
-    /// Where the wall clock stood against ours when a step was last looked for, in milliseconds.
-    wall_ahead_ms: i64,
+    started_unix: Duration,
+    started_at: Instant,
+    /// Offset of the wall clock from this clock at the last check for a step, in milliseconds.
+    wall_offset_ms: i64,
 }
 
 impl Clock {
+    /// Starts the clock.
     pub fn start() -> Self {
-        // A clock before 1970 is no clock: then stamps say nothing, and new servers count from their listing.
-        Clock { unix: wall(), started: Instant::now(), wall_ahead_ms: 0 }
+        // A clock before 1970 counts as unset: timestamps then say nothing, and new servers count from when they
+        // were listed.
+        Clock { started_unix: wall(), started_at: Instant::now(), wall_offset_ms: 0 }
     }
 
-    /// Monotonic, and never negative for what happened up to decades before the start.
+    /// The current time: monotonic, and never negative for events up to decades before the start.
     pub fn now(&self) -> Duration {
-        self.unix + self.started.elapsed()
+        self.started_unix + self.started_at.elapsed()
     }
 
     /// Unix time by the wall clock, which may have been stepped.
@@ -30,12 +33,12 @@
         wall()
     }
 
-    /// Whether the wall clock was stepped since the last look.
-    pub fn look_for_step(&mut self) -> bool {
+    /// Whether the wall clock was stepped since the last check.
+    pub fn detect_step(&mut self) -> bool {
         let ahead = millis(wall()) - millis(self.now());
-        let stepped = ahead.abs_diff(self.wall_ahead_ms) >= STEP_LEAST.as_millis() as u64;
+        let stepped = ahead.abs_diff(self.wall_offset_ms) >= MIN_STEP.as_millis() as u64;
         if stepped {
-            self.wall_ahead_ms = ahead;
+            self.wall_offset_ms = ahead;
         }
         stepped
     }
--- a/crates/whinhill-node/src/connection.rs
+++ b/crates/whinhill-node/src/connection.rs
@@ -1,4 +1,4 @@
-//! One socket, what it is for, and what is still to be written on it.
+//! One socket, its purpose, and its unwritten output.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -14,206 +14,228 @@
 use whinhill_platform::peer::Peer;
 use whinhill_platform::probe::Probing;
 
-use crate::answers::Answers;
+use crate::pending_answers::PendingAnswers;
 
-/// Bytes that may wait for a peer to read them. Ours are requests of a call's size at most.
-const OUT_MOST: usize = 128 * 1024;
+/// Limit of output that waits for the peer to read. Requests of this process have the size of a relay call at most.
+const MAX_UNWRITTEN_BYTES: usize = 128 * 1024;
 
-pub enum Kind {
-    Client {
-        peer: Peer,
-        stage: Stage,
-    },
-    /// A client that has had its last answer: what it still sends is read and thrown away, so that the close does
-    /// not reset the connection under that answer.
-    Closing {
-        discarded: usize,
-    },
-    News,
-    Calls(Lines),
-    Asking(Asking),
+/// What a connection is for.
+pub enum ConnectionKind {
+    /// A client of the assigner's address.
+    Client { peer: Peer, stage: ClientStage },
+    /// A client that was sent its last answer. What it still sends is read and discarded, so that closing does not
+    /// reset the connection before the client has read the answer.
+    Closing { discarded: usize },
+    /// The stream of updates from the relay.
+    RelayWatch,
+    /// Calls to the relay; carries the answer read so far.
+    RelayCalls(Lines),
+    /// A request to discovery: a watch or a fetch.
+    Discovery(Asking),
+    /// A probe of a server.
     Probe {
         ep: Ep,
         probing: Probing,
-        /// When its time is over.
-        until: Duration,
+        /// When the probe counts as unanswered.
+        deadline: Duration,
     },
 }
 
-/// How far a client is on its way to its last answer. A connection ends right after an answer wherever possible: a
-/// client that has just asked would lose its request.
+/// How far a client is on its way to its last answer. A connection is closed right after an answer wherever
+/// possible; otherwise a client that has just sent a request would lose it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ClientStage {
+    /// It is served.
     Open,
-    /// It was told that it has been silent for too long, and may still ask once.
+    /// It was sent an error for being silent for too long, and may still send one request.
     Warned,
-    /// Others wait for its place: it gives it up with its next answer.
-    Leaving,
-    /// It has had its last answer; its connection ends once all that had arrived by then is answered.
-    Answered,
+    /// Other clients need its slot; it is closed after its next answer.
+    CloseAfterAnswer,
+    /// Its last answer was sent; its connection ends once everything that had arrived by then is answered.
+    LastAnswerSent,
 }
 
-/// What a read found.
+/// The result of a read.
 #[derive(Debug)]
-pub enum Incoming {
+pub enum ReadOutcome {
+    /// This many bytes were read.
     Bytes(usize),
-    /// The other side has ended.
+    /// The peer has closed its side.
     End,
-    /// Nothing for now, by the system's word.
-    Blocked,
-    /// The system was short of something: the call says nothing of the other side.
-    Short(io::Error),
+    /// The system reports that nothing can be read now.
+    WouldBlock,
+    /// The system lacks memory or buffers; the call says nothing about the peer.
+    Shortage(io::Error),
 }
 
-/// What became of what was to be written.
+/// The result of writing output.
 #[derive(Debug)]
-pub enum Outgoing {
-    Written,
-    /// The rest waits for room.
-    Blocked,
-    /// The connection is not up yet.
+pub enum WriteOutcome {
+    /// Everything was written.
+    Complete,
+    /// The socket accepts no more for now; the rest is written later.
+    WouldBlock,
+    /// The connection is not established yet.
     NotConnected,
-    /// As for [`Incoming::Short`].
-    Short(io::Error),
+    /// As for [`ReadOutcome::Shortage`].
+    Shortage(io::Error),
 }
 
+/// One socket with its state.
 pub struct Connection {
-    pub kind: Kind,
-    /// When it was opened, for its age alone.
-    pub opened: Duration,
-    /// Whether the other side has sent anything, and when it last did.
-    pub heard: bool,
-    pub heard_at: Duration,
-    /// When it last asked for a sign of life.
-    pub asked_at: Option<Duration>,
-    /// Looks that are still made at the socket though the poll tells nothing.
-    pub looks_left: u32,
-    /// Something was read before the poll told of it.
-    pub read_untold: bool,
-    /// The last read failed for want of something.
-    pub read_failed: bool,
-    /// How often its deadline was put off for that.
-    pub postponed: u32,
-    /// Requests that wait for their answers to be written.
-    pub answers: Answers,
-    /// The other side's address.
+    pub kind: ConnectionKind,
+    /// When it was opened; used to order connections by age.
+    pub opened_at: Duration,
+    /// Whether the peer has sent anything.
+    pub has_received: bool,
+    /// When a client last sent anything; before that, when it connected.
+    pub last_received_at: Duration,
+    /// When the client last sent a request for a sign of life.
+    pub last_request_at: Option<Duration>,
+    /// Rechecks of the socket that remain although the poll reports nothing.
+    pub rechecks_left: u32,
+    /// Something was read before the poll reported it.
+    pub read_before_event: bool,
+    /// The last read failed for want of resources.
+    pub last_read_failed: bool,
+    /// How often its timeout was postponed for that reason.
+    pub timeout_postponements: u32,
+    /// Requests whose answers have not been written completely.
+    pub pending_answers: PendingAnswers,
+    /// The peer's address.
     pub remote: SocketAddr,
-    /// Whether it was ever up.
-    up: bool,
-    /// Whether our side has ended.
-    ended: bool,
+    /// Whether it was ever established.
+    established: bool,
+    /// Whether the sending side was shut down.
+    write_shut_down: bool,
     stream: TcpStream,
-    out: Vec<u8>,
-    written: usize,
+    /// Output; the first `written_bytes` of it were written.
+    write_buffer: Vec<u8>,
+    written_bytes: usize,
 }
 
 impl Connection {
-    fn new(stream: TcpStream, remote: SocketAddr, kind: Kind, first: &[u8], now: Duration) -> Self {
+    fn new(
+        stream: TcpStream,
+        remote: SocketAddr,
+        kind: ConnectionKind,
+        initial_output: &[u8],
+        now: Duration,
+    ) -> Self {
         Connection {
             kind,
-            opened: now,
-            heard: false,
-            heard_at: now,
-            asked_at: None,
-            looks_left: 0,
-            read_untold: false,
-            read_failed: false,
-            postponed: 0,
-            answers: Answers::default(),
+            opened_at: now,
+            has_received: false,
+            last_received_at: now,
+            last_request_at: None,
+            rechecks_left: 0,
+            read_before_event: false,
+            last_read_failed: false,
+            timeout_postponements: 0,
+            pending_answers: PendingAnswers::default(),
             remote,
-            up: false,
-            ended: false,
+            established: false,
+            write_shut_down: false,
             stream,
-            out: first.to_vec(),
-            written: 0,
+            write_buffer: initial_output.to_vec(),
+            written_bytes: 0,
         }
     }
 
+    /// A connection that was accepted from a client.
     pub fn accepted(stream: TcpStream, remote: SocketAddr, now: Duration) -> Self {
-        let kind = Kind::Client { peer: Peer::default(), stage: Stage::Open };
-        Connection { up: true, ..Self::new(stream, remote, kind, &[], now) }
+        let kind = ConnectionKind::Client { peer: Peer::default(), stage: ClientStage::Open };
+        Connection { established: true, ..Self::new(stream, remote, kind, &[], now) }
     }
 
-    /// Starts to connect; `first` is written as soon as it is up.
-    pub fn connect(addr: SocketAddr, kind: Kind, first: &[u8], now: Duration) -> io::Result<Self> {
+    /// Starts to connect; `initial_output` is written as soon as the connection is established.
+    pub fn connect(
+        addr: SocketAddr,
+        kind: ConnectionKind,
+        initial_output: &[u8],
+        now: Duration,
+    ) -> io::Result<Self> {
         let stream = TcpStream::connect(addr)?;
-        // Calls are small and each waits for its answer.
+        // Calls are small, and each waits for the answer to the one before.
         let _ = stream.set_nodelay(true);
-        Ok(Self::new(stream, addr, kind, first, now))
+        Ok(Self::new(stream, addr, kind, initial_output, now))
     }
 
+    /// Registers the socket with the poll.
     pub fn register(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         registry.register(&mut self.stream, token, Interest::READABLE | Interest::WRITABLE)
     }
 
+    /// Removes the socket from the poll.
     pub fn deregister(&mut self, registry: &Registry) {
-        // It fails where the poll never had it.
+        // Fails if the poll never had the socket.
         let _ = registry.deregister(&mut self.stream);
     }
 
-    /// Writes what the socket takes now; the rest goes when it can be written again. Fails where the other side
-    /// leaves too much unread, or the connection is broken.
-    pub fn send(&mut self, bytes: &[u8]) -> io::Result<Outgoing> {
-        if self.out.len() - self.written + bytes.len() > OUT_MOST {
-            return Err(io::Error::other("the peer does not read"));
+    /// Writes what the socket accepts now; the rest is written when the socket is writable. Fails if the peer
+    /// leaves too much unread or the connection is broken.
+    pub fn send(&mut self, bytes: &[u8]) -> io::Result<WriteOutcome> {
+        if self.write_buffer.len() - self.written_bytes + bytes.len() > MAX_UNWRITTEN_BYTES {
+            return Err(io::Error::other("the peer leaves too much output unread"));
         }
-        self.out.extend_from_slice(bytes);
+        self.write_buffer.extend_from_slice(bytes);
         self.flush()
     }
 
-    /// As [`Connection::send`], for an answer that the end of our side follows: both leave together, so that nobody
-    /// who has the answer can ask before the end has come (tcp(7), TCP_CORK).
-    pub fn send_with_end(&mut self, bytes: &[u8]) -> io::Result<Outgoing> {
-        // Where it fails the end only follows a little later.
+    /// As [`Connection::send`], for an answer after which the sending side is shut down. Answer and end leave
+    /// together, so that a client that has the answer cannot send a request before it sees the end (tcp(7),
+    /// TCP_CORK).
+    pub fn send_before_shutdown(&mut self, bytes: &[u8]) -> io::Result<WriteOutcome> {
+        // If it fails, the end only leaves a little later.
         let _ = SockRef::from(&self.stream).set_tcp_cork(true);
         self.send(bytes)
     }
 
-    /// The end does not follow yet: what was sent must not wait for it.
-    pub fn put_off_end(&mut self) {
+    /// Sends what was held back by [`Connection::send_before_shutdown`], since the end does not follow yet.
+    pub fn uncork(&mut self) {
         let _ = SockRef::from(&self.stream).set_tcp_cork(false);
     }
 
-    /// Writes what is left. Fails where the connection is broken.
-    pub fn flush(&mut self) -> io::Result<Outgoing> {
-        while self.written < self.out.len() {
-            match self.stream.write(&self.out[self.written..]) {
+    /// Writes the remaining output. Fails if the connection is broken.
+    pub fn flush(&mut self) -> io::Result<WriteOutcome> {
+        while self.written_bytes < self.write_buffer.len() {
+            match self.stream.write(&self.write_buffer[self.written_bytes..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
-                    self.up = true;
-                    self.written += n;
-                    self.answers.written(n);
+                    self.established = true;
+                    self.written_bytes += n;
+                    self.pending_answers.note_written(n);
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Outgoing::Blocked),
-                Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(Outgoing::NotConnected),
-                Err(e) if is_short_of_memory(&e) => return Ok(Outgoing::Short(e)),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(WriteOutcome::WouldBlock),
+                Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(WriteOutcome::NotConnected),
+                Err(e) if is_short_of_memory(&e) => return Ok(WriteOutcome::Shortage(e)),
                 Err(e) => return Err(e),
             }
         }
-        self.out.clear();
-        self.written = 0;
-        Ok(Outgoing::Written)
+        self.write_buffer.clear();
+        self.written_bytes = 0;
+        Ok(WriteOutcome::Complete)
     }
 
-    /// Whether all that was given to write has left.
+    /// Whether all output was written.
     pub fn all_written(&self) -> bool {
-        self.out.is_empty()
+        self.write_buffer.is_empty()
     }
 
-    /// Ends our side once all that was given to write has left; the other side may still send. Only once: it makes
-    /// the poll tell of the socket again.
-    pub fn end_writing(&mut self) {
-        if self.all_written() && !std::mem::replace(&mut self.ended, true) {
-            // It fails where the other side is gone already.
+    /// Shuts down the sending side once all output was written; the peer may still send. Done once only, since each
+    /// call makes the poll report the socket again.
+    pub fn shut_down_writes(&mut self) {
+        if self.all_written() && !std::mem::replace(&mut self.write_shut_down, true) {
+            // Fails if the peer has closed the connection already.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// Reads and throws away what has arrived, up to a bound.
-    pub fn discard(&mut self, most: usize) {
-        let (mut buffer, mut left) = ([0; 4096], most);
-        while let Ok(Incoming::Bytes(n)) = self.read(&mut buffer) {
+    /// Reads and discards what has arrived, up to a limit.
+    pub fn discard(&mut self, max_bytes: usize) {
+        let (mut buffer, mut left) = ([0; 4096], max_bytes);
+        while let Ok(ReadOutcome::Bytes(n)) = self.read(&mut buffer) {
             left = left.saturating_sub(n);
             if left == 0 {
                 return;
@@ -221,65 +243,66 @@
         }
     }
 
-    /// Reads once. Fails where the connection is broken.
-    pub fn read(&mut self, buffer: &mut [u8]) -> io::Result<Incoming> {
-        self.read_failed = false;
+    /// Reads once. Fails if the connection is broken.
+    pub fn read(&mut self, buffer: &mut [u8]) -> io::Result<ReadOutcome> {
+        self.last_read_failed = false;
         loop {
             match self.stream.read(buffer) {
-                Ok(0) => return Ok(Incoming::End),
+                Ok(0) => return Ok(ReadOutcome::End),
                 Ok(n) => {
-                    self.heard = true;
-                    self.postponed = 0;
-                    return Ok(Incoming::Bytes(n));
+                    self.has_received = true;
+                    self.timeout_postponements = 0;
+                    return Ok(ReadOutcome::Bytes(n));
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
-                    return Ok(Incoming::Blocked);
+                    return Ok(ReadOutcome::WouldBlock);
                 }
                 Err(e) if is_short_of_memory(&e) => {
-                    self.read_failed = true;
-                    return Ok(Incoming::Short(e));
+                    self.last_read_failed = true;
+                    return Ok(ReadOutcome::Shortage(e));
                 }
                 Err(e) => return Err(e),
             }
         }
     }
 
-    /// Whether a connect of ours has come through.
-    pub fn was_up(&self) -> bool {
-        self.up
+    /// Whether the connection was ever established.
+    pub fn was_established(&self) -> bool {
+        self.established
     }
 
-    pub fn joined(&self) -> bool {
-        matches!(&self.kind, Kind::Client { peer, .. } if peer.joined())
+    /// Whether it is a client that has joined as a collector.
+    pub fn has_joined(&self) -> bool {
+        matches!(&self.kind, ConnectionKind::Client { peer, .. } if peer.joined())
     }
 
     /// Whether it is a client that has not joined.
-    pub fn is_stranger(&self) -> bool {
-        matches!(&self.kind, Kind::Client { peer, .. } if !peer.joined())
+    pub fn is_unjoined_client(&self) -> bool {
+        matches!(&self.kind, ConnectionKind::Client { peer, .. } if !peer.joined())
     }
 
     /// Whether a client has sent a part of a message and not its end.
-    pub fn is_unfinished(&self) -> bool {
-        matches!(&self.kind, Kind::Client { peer, .. } if peer.unfinished())
+    pub fn has_partial_message(&self) -> bool {
+        matches!(&self.kind, ConnectionKind::Client { peer, .. } if peer.unfinished())
     }
 
-    /// Whether it is a client that has been sent all that it is owed, its last answer and our end.
-    pub fn has_had_all(&self) -> bool {
-        matches!(self.kind, Kind::Closing { .. }) && self.all_written()
+    /// Whether it is a client that was sent its last answer and the end of the connection.
+    pub fn is_closing_and_written(&self) -> bool {
+        matches!(self.kind, ConnectionKind::Closing { .. }) && self.all_written()
     }
 
-    /// What it is for, in the log.
+    /// What the connection is for, as logged.
     pub fn purpose(&self) -> &'static str {
         match &self.kind {
-            Kind::Client { peer, .. } if peer.joined() => "collector",
-            Kind::Client { .. } => "client",
-            Kind::Closing { .. } => "refused client",
-            Kind::News => "news",
-            Kind::Calls(_) => "calls",
-            Kind::Asking(asking) if asking.is_watch() => "watch",
-            Kind::Asking(_) => "list",
-            Kind::Probe { .. } => "probe",
+            ConnectionKind::Client { peer, .. } if peer.joined() => "collector",
+            ConnectionKind::Client { .. } => "client",
+            ConnectionKind::Closing { .. } => "refused client",
+            ConnectionKind::RelayWatch => "news",
+            ConnectionKind::RelayCalls(_) => "calls",
+            ConnectionKind::Discovery(asking) if asking.is_watch() => "watch",
+            ConnectionKind::Discovery(_) => "list",
+            ConnectionKind::Probe { .. } => "probe",
         }
     }
 }
--- a/crates/whinhill-node/src/connections/tests.rs
+++ b/crates/whinhill-node/src/connections/tests.rs
@@ -2,16 +2,16 @@
 use std::time::Duration;
 
 use super::*;
-use crate::connection::Kind;
+use crate::connection::ConnectionKind;
 
 fn connection(addr: SocketAddr) -> Connection {
-    Connection::connect(addr, Kind::News, b"", Duration::ZERO).unwrap()
+    Connection::connect(addr, ConnectionKind::RelayWatch, b"", Duration::ZERO).unwrap()
 }
 
-/// Both begin at the same instant and at the same place: a late deadline, close or event of the first must not
+/// Two connections may use the same slot at the same instant. A late deadline, close or event of the first must not
 /// reach the second.
 #[test]
-fn the_next_at_a_place_has_another_name() {
+fn reused_slot_has_a_new_id() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let mut connections = Connections::default();
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn a_name_survives_its_token_and_is_never_the_listeners() {
-    for (place, generation) in [(0, 0), (7, 3), (u32::MAX, GENERATIONS - 1)] {
+fn id_round_trips_through_its_token_and_never_equals_the_listeners() {
+    for (place, generation) in [(0, 0), (7, 3), (u32::MAX, GENERATION_COUNT - 1)] {
         let id = Id { place, generation };
-        assert_eq!(Id::of(id.token()), id);
+        assert_eq!(Id::from_token(id.token()), id);
         assert!(id.token().0 < usize::MAX - 2);
     }
 }
--- a/crates/whinhill-node/src/deadlines.rs
+++ b/crates/whinhill-node/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines in one queue, one for each thing that has one.
+//! A queue of deadlines with at most one for each kind.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,107 +7,112 @@
 
 use crate::connections::Id;
 
-/// What a deadline is for.
+/// What happens when a deadline is reached. Deadlines for the same instant are handled in the order of the
+/// variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// Events are handed to the module.
+pub enum DeadlineKind {
+    /// Pending events are handed to the module.
     Batch,
     /// The module asked to be woken.
     Wake,
-    /// News were quiet.
-    News(Place),
-    /// News are asked for again.
-    OpenNews,
-    /// A call may start.
-    Call,
-    /// Accepting goes on after it failed.
-    Accept,
-    /// Every socket is looked at, whatever the poll has told.
-    Look,
-    /// The configuration is read again after it could not be.
-    Config,
-    /// Discovery is asked again after a connect that failed at once.
-    Watch,
-    /// And for the whole list.
-    Fetch,
-    /// Probes whose connects failed at once are made again.
-    Probes,
-    /// The state is logged.
-    Status,
-    /// What the module believes is logged.
-    Beliefs,
-    /// The end, after SIGTERM, comes a step further.
-    End,
-    /// A connection has taken too long.
-    Connection(Id),
-    /// The poll is asked again to tell of a connection.
-    Register(Id),
-    /// A connection is looked at again, without the poll's having told of it.
-    Transfer(Id),
+    /// A relay watch has been silent.
+    RelayWatch(Place),
+    /// The relay watch is opened again.
+    ReopenRelayWatch,
+    /// A relay call may start.
+    RelayCall,
+    /// The listen queue is checked again.
+    RetryAccept,
+    /// Every socket is checked, whatever the poll has reported.
+    CheckAllSockets,
+    /// The configuration is read again after a failure.
+    RetryConfig,
+    /// The discovery watch is opened again after a connect that failed immediately.
+    RetryDiscoveryWatch,
+    /// The whole server list is requested again after such a failure.
+    RetryFetch,
+    /// Probes whose connects failed immediately are retried.
+    RetryProbes,
+    /// The status is logged.
+    LogStatus,
+    /// The module's view of servers and slices is logged.
+    LogBeliefs,
+    /// The next step of the shutdown.
+    ShutdownStep,
+    /// A connection has reached its time limit.
+    ConnectionTimeout(Id),
+    /// Registration of a connection with the poll is retried.
+    RetryRegister(Id),
+    /// A connection is checked although the poll has reported nothing.
+    Recheck(Id),
 }
 
+/// All deadlines, by kind and in order of time.
 #[derive(Debug, Default)]
 pub struct Deadlines {
-    at: BTreeMap<Due, Duration>,
-    queue: BTreeSet<(Duration, Due)>,
+    by_kind: BTreeMap<DeadlineKind, Duration>,
+    queue: BTreeSet<(Duration, DeadlineKind)>,
 }
 
 impl Deadlines {
-    /// Sets a deadline in place of an earlier one for the same.
-    pub fn set(&mut self, due: Due, at: Duration) {
-        self.clear(due);
-        self.at.insert(due, at);
-        self.queue.insert((at, due));
+    /// Sets the deadline, replacing an earlier one of the same kind.
+    pub fn set(&mut self, kind: DeadlineKind, at: Duration) {
+        self.clear(kind);
+        self.by_kind.insert(kind, at);
+        self.queue.insert((at, kind));
     }
 
-    /// Sets a deadline unless an earlier one stands.
-    pub fn set_by(&mut self, due: Due, at: Duration) {
-        if self.at.get(&due).is_none_or(|earlier| at < *earlier) {
-            self.set(due, at);
+    /// Sets the deadline unless one of the same kind is set for an earlier time.
+    pub fn set_if_earlier(&mut self, kind: DeadlineKind, at: Duration) {
+        if self.by_kind.get(&kind).is_none_or(|earlier| at < *earlier) {
+            self.set(kind, at);
         }
     }
 
-    /// Has one that stands come no earlier.
-    pub fn put_off(&mut self, due: Due, at: Duration) {
-        if self.at.get(&due).is_some_and(|earlier| *earlier < at) {
-            self.set(due, at);
+    /// Moves a deadline that is set to `at` if it would come earlier.
+    pub fn postpone(&mut self, kind: DeadlineKind, at: Duration) {
+        if self.by_kind.get(&kind).is_some_and(|earlier| *earlier < at) {
+            self.set(kind, at);
         }
     }
 
-    pub fn is_set(&self, due: Due) -> bool {
-        self.at.contains_key(&due)
+    /// Whether a deadline of this kind is set.
+    pub fn is_set(&self, kind: DeadlineKind) -> bool {
+        self.by_kind.contains_key(&kind)
     }
 
-    pub fn clear(&mut self, due: Due) {
-        if let Some(at) = self.at.remove(&due) {
-            self.queue.remove(&(at, due));
+    /// Removes the deadline of this kind.
+    pub fn clear(&mut self, kind: DeadlineKind) {
+        if let Some(at) = self.by_kind.remove(&kind) {
+            self.queue.remove(&(at, kind));
         }
     }
 
+    /// The time of the first deadline.
     pub fn next_at(&self) -> Option<Duration> {
         self.queue.first().map(|(at, _)| *at)
     }
 
-    /// Takes the one for this if it still stands at that time.
-    pub fn pop_at(&mut self, due: Due, at: Duration) -> bool {
-        let stands = self.at.get(&due) == Some(&at);
-        if stands {
-            self.clear(due);
+    /// Removes the deadline of this kind if it is set for exactly this time; returns whether it was.
+    pub fn pop_if_at(&mut self, kind: DeadlineKind, at: Duration) -> bool {
+        let is_set_then = self.by_kind.get(&kind) == Some(&at);
+        if is_set_then {
+            self.clear(kind);
         }
-        stands
+        is_set_then
     }
 
-    /// Whether any is due.
-    pub fn is_due(&self, now: Duration) -> bool {
+    /// Whether any deadline is due.
+    pub fn any_due(&self, now: Duration) -> bool {
         self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// Takes the first one that is due.
-    pub fn pop(&mut self, now: Duration) -> Option<Due> {
-        let (at, due) = *self.queue.first().filter(|(at, _)| *at <= now)?;
-        self.queue.remove(&(at, due));
-        self.at.remove(&due);
-        Some(due)
+    /// Removes and returns the first deadline that is due.
+    pub fn pop_due(&mut self, now: Duration) -> Option<DeadlineKind> {
+        let (at, kind) = *self.queue.first().filter(|(at, _)| *at <= now)?;
+        self.queue.remove(&(at, kind));
+        self.by_kind.remove(&kind);
+        Some(kind)
     }
 }
 
--- a/crates/whinhill-node/src/discovery.rs
+++ b/crates/whinhill-node/src/discovery.rs
@@ -1,135 +1,148 @@
-//! Asking discovery for the list and for its changes.
+//! Requests to discovery: the watch for changes of the server list, and the fetch of the whole list.
 
 use tracing::{info, warn};
 use whinhill::interface::{Event, ListKind};
 use whinhill_platform::discovery::{self, Asking, Taken};
 use whinhill_platform::roster::Roster;
 
-use crate::connection::{Connection, Kind};
+use crate::connection::{Connection, ConnectionKind};
 use crate::connections::Id;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::limits::*;
 use crate::node::Node;
 
 impl Node {
-    /// The module wants to hear of changes.
-    pub fn watch(&mut self) {
-        if let Some(id) = self.watch_at {
-            // A watch that lives has told all; one that is coming up will answer.
-            if self.watch_lives(id) {
-                self.pending.push(Event::List { kind: ListKind::Changes, entries: Vec::new() });
+    /// The module wants to be notified of changes.
+    pub fn start_discovery_watch(&mut self) {
+        if let Some(id) = self.discovery_watch_connection {
+            // A watch that has been answered has sent everything; one that is being opened will be answered.
+            if self.is_discovery_watch_answered(id) {
+                self.pending_events.push(Event::List { kind: ListKind::Changes, entries: Vec::new() });
             }
             return;
         }
-        self.open_watch();
+        self.open_discovery_watch();
     }
 
-    fn watch_lives(&self, id: Id) -> bool {
-        matches!(self.connections.get(id).map(|c| &c.kind), Some(Kind::Asking(asking)) if asking.answered())
+    fn is_discovery_watch_answered(&self, id: Id) -> bool {
+        matches!(self.connections.get(id).map(|c| &c.kind), Some(ConnectionKind::Discovery(asking)) if asking.answered())
     }
 
-    /// Opens a watch. A connect that fails at once has cost discovery nothing and says nothing of it: it is tried
-    /// again soon, and the module, which waits longer after each failure, does not hear of it.
-    fn open_watch(&mut self) {
+    /// Opens a watch. A connect that fails immediately has not reached discovery and says nothing about it. It is
+    /// retried soon and not reported to the module, which waits longer after each failure.
+    fn open_discovery_watch(&mut self) {
         let addr = self.config.discovery;
-        let request = discovery::watch_request(addr, self.version.held());
-        self.watch_at = self.connect(addr, Kind::Asking(Asking::watch()), &request, DISCOVERY_WITHIN);
-        if self.watch_at.is_some() {
-            self.counts.watches += 1;
+        let request = discovery::watch_request(addr, self.list_version.held());
+        self.discovery_watch_connection =
+            self.connect(addr, ConnectionKind::Discovery(Asking::watch()), &request, DISCOVERY_TIMEOUT);
+        if self.discovery_watch_connection.is_some() {
+            self.counters.discovery_watches += 1;
             return;
         }
-        if !std::mem::replace(&mut self.discovery_fails, true) {
-            warn!(held = self.version.held(), "discovery cannot be asked: no connection can be made");
+        if !std::mem::replace(&mut self.discovery_failing, true) {
+            warn!(held = self.list_version.held(), "discovery cannot be queried: connecting failed");
         }
-        self.deadlines.set(Due::Watch, self.clock.now() + CONNECT_AGAIN);
+        self.deadlines.set(DeadlineKind::RetryDiscoveryWatch, self.clock.now() + CONNECT_RETRY_DELAY);
     }
 
     /// Opens a watch that could not be opened before, unless there is one.
-    pub fn watch_again(&mut self) {
-        if self.watch_at.is_none() {
-            self.open_watch();
+    pub fn reopen_discovery_watch(&mut self) {
+        if self.discovery_watch_connection.is_none() {
+            self.open_discovery_watch();
         }
     }
 
-    /// Asks for the whole list.
-    pub fn fetch(&mut self) {
+    /// Requests the whole list.
+    pub fn fetch_server_list(&mut self) {
         let addr = self.config.discovery;
         let request = discovery::fetch_request(addr);
-        if self.connect(addr, Kind::Asking(Asking::fetch()), &request, DISCOVERY_WITHIN).is_none() {
-            self.deadlines.set(Due::Fetch, self.clock.now() + CONNECT_AGAIN);
+        if self
+            .connect(addr, ConnectionKind::Discovery(Asking::fetch()), &request, DISCOVERY_TIMEOUT)
+            .is_none()
+        {
+            self.deadlines.set(DeadlineKind::RetryFetch, self.clock.now() + CONNECT_RETRY_DELAY);
         }
     }
 
-    /// Discovery is at another address.
-    pub fn move_watch(&mut self) {
-        self.watch_at.take().into_iter().for_each(|id| drop(self.close(id)));
-        self.open_watch();
+    /// Discovery has a new address.
+    pub fn switch_discovery_address(&mut self) {
+        self.discovery_watch_connection.take().into_iter().for_each(|id| drop(self.close(id)));
+        self.open_discovery_watch();
     }
 
-    fn push_failed(&mut self, why: &str) {
-        self.counts.discovery_failed += 1;
-        if !std::mem::replace(&mut self.discovery_fails, true) {
-            warn!(held = self.version.held(), "discovery fails: {why}");
+    /// Counts a failure, logs it if the previous result was a success, and reports it to the module.
+    fn report_discovery_failure(&mut self, why: &str) {
+        self.counters.discovery_failures += 1;
+        if !std::mem::replace(&mut self.discovery_failing, true) {
+            warn!(held = self.list_version.held(), "discovery fails: {why}");
         }
-        self.pending.push(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+        self.pending_events.push(Event::List { kind: ListKind::Failed, entries: Vec::new() });
     }
 
-    pub fn discovery_bytes(&mut self, id: Id, bytes: &[u8]) {
-        let Some(Connection { kind: Kind::Asking(asking), .. }) = self.connections.get_mut(id) else {
+    /// Bytes of an answer from discovery arrived.
+    pub fn handle_discovery_bytes(&mut self, id: Id, bytes: &[u8]) {
+        let Some(Connection { kind: ConnectionKind::Discovery(asking), .. }) = self.connections.get_mut(id)
+        else {
             return;
         };
-        let watch = asking.is_watch();
+        let is_watch = asking.is_watch();
         let Taken { lists, alive, current, fault } = asking.take(bytes);
-        if watch && alive {
-            self.deadlines.set(Due::Connection(id), self.clock.now() + WATCH_SILENT);
+        if is_watch && alive {
+            self.deadlines
+                .set(DeadlineKind::ConnectionTimeout(id), self.clock.now() + DISCOVERY_WATCH_SILENCE_TIMEOUT);
         }
-        let done = !watch && !lists.is_empty();
-        let forward = lists.iter().all(|list| self.take_list(list));
-        if current && forward {
-            self.starts.list_is_current(self.clock.now());
+        let fetched = !is_watch && !lists.is_empty();
+        let all_newer = lists.iter().all(|list| self.accept_list(list));
+        if current && all_newer {
+            self.server_starts.list_is_current(self.clock.now());
         }
         match fault {
-            _ if !forward => self.discovery_failed(id, "it went back in version"),
-            Some(error) => self.discovery_failed(id, &error.to_string()),
-            None if done => drop(self.close(id)),
+            _ if !all_newer => self.fail_discovery_request(id, "the version of its list decreased"),
+            Some(error) => self.fail_discovery_request(id, &error.to_string()),
+            None if fetched => drop(self.close(id)),
             None => {}
         }
     }
 
-    /// False: it is older than what we hold.
-    fn take_list(&mut self, list: &Roster) -> bool {
-        let Some(kind) = self.version.take(list) else {
-            info!(held = self.version.held(), told = list.version, "an older list is not taken");
+    /// Passes a list on to the module; `false` if it is older than the current one.
+    fn accept_list(&mut self, list: &Roster) -> bool {
+        let Some(kind) = self.list_version.take(list) else {
+            info!(held = self.list_version.held(), told = list.version, "older server list ignored");
             return false;
         };
-        if std::mem::take(&mut self.discovery_fails) {
+        if std::mem::take(&mut self.discovery_failing) {
             info!(version = list.version, "discovery answers again");
         }
         let servers = list.servers.len();
-        info!(version = list.version, whole = list.whole, servers, "a list is taken");
-        self.counts.lists += 1;
+        info!(version = list.version, whole = list.whole, servers, "server list received");
+        self.counters.lists += 1;
         self.push_list(kind, list);
-        if std::mem::take(&mut self.news_await_list) {
-            self.open_news();
+        if std::mem::take(&mut self.relay_watch_awaits_list) {
+            self.open_relay_watch();
         }
         true
     }
 
-    pub fn discovery_ended(&mut self, id: Id) {
-        let Some(Connection { kind: Kind::Asking(asking), .. }) = self.connections.get(id) else { return };
+    /// Discovery closed a connection.
+    pub fn handle_discovery_eof(&mut self, id: Id) {
+        let Some(Connection { kind: ConnectionKind::Discovery(asking), .. }) = self.connections.get(id)
+        else {
+            return;
+        };
         match asking.ended() {
             Ok(lists) => {
                 self.close(id);
-                if !lists.iter().all(|list| self.take_list(list)) {
-                    self.push_failed("it went back in version");
+                if !lists.iter().all(|list| self.accept_list(list)) {
+                    self.report_discovery_failure("the version of its list decreased");
                 }
             }
-            Err(error) => self.discovery_failed(id, &error.to_string()),
+            Err(error) => self.fail_discovery_request(id, &error.to_string()),
         }
     }
 
-    pub fn discovery_failed(&mut self, id: Id, why: &str) {
+    /// Closes a request that failed and reports the failure.
+    pub fn fail_discovery_request(&mut self, id: Id, why: &str) {
         self.close(id);
-        self.push_failed(why);
+        self.report_discovery_failure(why);
     }
 }
--- a/crates/whinhill-node/src/limits.rs
+++ b/crates/whinhill-node/src/limits.rs
@@ -1,121 +1,137 @@
-//! Time limits and bounds of the sockets. None decides owners, health or pace.
+//! Time limits and bounds of the sockets. None of them affects ownership, health or pacing decisions.
 
 use std::time::Duration;
 
-/// Whoever has not joined by then is closed; the platform allows that from 1 s on, and asks for it within 3 s.
-pub const JOIN_WITHIN: Duration = Duration::from_millis(1100);
-/// A connection comes up within two round trips of a few milliseconds; a machine that is cut off never answers.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(500);
-/// The relay answers within 50 ms or never; the rest is for a core that is shared.
-pub const CALL_WITHIN: Duration = Duration::from_millis(200);
-/// So long a call in doubt waits for room to be sent again, at most: by so much the rules' time limits wait where
-/// the relay breaks a call, and by more where it is silent.
-pub const DOUBT_WAITS: Duration = Duration::from_millis(500);
-/// And so often it is looked at: as often as the module looks at its channel.
-pub const DOUBT_LOOKS: Duration = Duration::from_millis(50);
-/// A calls' connection idle for longer is replaced before the next call: the relay closes it at 10 s or less.
-pub const CALL_IDLE: Duration = Duration::from_secs(3);
-/// First wait before news are asked for again, doubled up to the most. Shorter: a relay that is down is
-/// hammered; longer: answers and departures go unheard.
-pub const NEWS_AGAIN: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
-/// Discovery answers one call after another, each within its own limit of a second.
-pub const DISCOVERY_WITHIN: Duration = Duration::from_millis(2500);
-/// A watch has a sign of life every 2 s; silence must be found well within the 6 s that the rules leave.
-pub const WATCH_SILENT: Duration = Duration::from_millis(3000);
-/// An answer to a probe that takes longer says that the server does not serve.
-pub const PROBE_WITHIN: Duration = Duration::from_millis(500);
-/// Reports come in pieces within milliseconds of each other: so long they are gathered for one batch.
-pub const GATHER: Duration = Duration::from_millis(5);
-/// Events that make a batch at once.
-pub const BATCH_MOST: usize = 8192;
-/// Reads of one connection in a turn, of 64 KiB each: then the others have theirs.
-pub const READS_MOST: usize = 8;
-/// Probes under way at a time: a part of the descriptors, within bounds. A silent server holds one for its whole time.
-pub const PROBES_PART: usize = 5;
-pub const PROBES_MOST: (usize, usize) = (16, 256);
-/// Connections of one zone's collector: the newest is the real one, others may not have noticed their end.
-pub const COLLECTORS_MOST: usize = 3;
-/// Descriptors of our own: standard streams, poll, signals, listener, the configuration file.
-pub const RESERVED_OWN: usize = 12;
-/// And those of relay and discovery, each with one to replace it.
-pub const RESERVED_PATHS: usize = 8;
-/// Descriptors that nobody who connects may take, with those of probes on top.
-pub const RESERVED: usize = RESERVED_OWN + RESERVED_PATHS;
-/// Failures of `accept` in one turn: most pass at once, and a client that waits is late soon.
-pub const ACCEPT_FAILURES_MOST: u32 = 16;
-/// Accepting goes on after this: after failures, while all places are taken, and where somebody may still wait.
-pub const ACCEPT_AGAIN: Duration = Duration::from_millis(5);
-/// Looks at the listen queue after the poll has told of it. A call may say too early that it would block.
-pub const ACCEPT_LOOKS: u32 = 16;
-/// And without its having told.
-pub const ACCEPT_LOOKS_UNTOLD: u32 = 4;
-/// Where the poll told of somebody and nobody was found, the queue is looked at again so often, each
-/// [`ACCEPT_AGAIN`]: for 0.2 s, after which the looks at everything go on.
-pub const ACCEPT_LOOKS_AGAIN: u32 = 40;
-/// A stranger that has been silent for less may be about to ask: closed then it would lose its request.
-pub const EVICT_IDLE: Duration = Duration::from_millis(100);
-/// Strangers at a time that give their places up with their next answers.
-pub const LEAVING_MOST: usize = 16;
-/// The poll tells of each arrival once: after this every socket is looked at all the same. Shorter costs calls of
-/// the system; longer delays whoever is waited for behind a call that said too early that it would block.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A socket is looked at after this where a transfer failed for want of memory or buffers, or may have said too
-/// early that it would block.
-pub const TRANSFER_AGAIN: Duration = Duration::from_millis(5);
-/// So many looks follow a call that may have said so too early, each with so many tries.
-pub const LOOKS_SOON: u32 = 8;
-pub const TRIES_A_LOOK: u32 = 4;
-/// So long after such a call every read is followed by looks.
-pub const LOOK_CLOSELY_FOR: Duration = Duration::from_secs(1);
-/// A time limit is put off so often, each time by [`TRANSFER_AGAIN`], while reads fail for want of something: for
-/// 0.5 s, which the rules leave beyond each limit.
-pub const POSTPONED_MOST: u32 = 100;
-/// The poll would not take a connection: it is asked again.
-pub const REGISTER_AGAIN: Duration = Duration::from_millis(5);
-/// A connect that fails before anything was sent says nothing of the other side, and is tried again.
-pub const CONNECT_AGAIN: Duration = Duration::from_millis(100);
-/// A client that has had its last answer is closed after this at the latest: an answer takes a round trip, and
-/// whoever goes on without end must be rid of within 6 s.
-pub const CLOSE_WITHIN: Duration = Duration::from_millis(500);
-/// Bytes of a client that are read and thrown away after its last answer: a few of the largest messages.
-pub const DISCARD_MOST: usize = 4 << 20;
-/// What is not to be had at the start (an address, a descriptor, memory) is tried again for so long: the platform
-/// counts over 30 s as a failed start, and 10 s as slow.
-pub const START_WITHIN: Duration = Duration::from_secs(5);
-/// And so often.
-pub const START_AGAIN: Duration = Duration::from_millis(20);
-/// A configuration that cannot be read after SIGHUP is tried again this often, and for so long: the former addresses
-/// close after 1.5 s, and a disk or a table of files that is full for longer is somebody's to see to.
-pub const CONFIG_AGAIN: Duration = Duration::from_millis(50);
-pub const CONFIG_WITHIN: Duration = Duration::from_secs(10);
-/// Failures of the poll in a row after which it counts as broken. One signal after another is no failure.
-pub const POLL_FAILURES_MOST: u32 = 100;
-/// The state goes into the log this often.
-pub const STATUS_EVERY: Duration = Duration::from_secs(10);
-/// A server off the list for so long is let go: by then no probe, report or order of it is under way.
-pub const LET_GO_AFTER: Duration = Duration::from_secs(20);
-/// What the module believes goes into the log this often, where it is asked for: as often as servers are judged.
-pub const BELIEFS_EVERY: Duration = Duration::from_secs(1);
-/// A client that was told of its silence may still ask within this.
-pub const WARNED_WITHIN: Duration = Duration::from_millis(500);
-/// After SIGTERM, calls in line may still leave for this long.
-pub const CALLS_END_AFTER: Duration = Duration::from_millis(250);
-/// So long the address is served as before and no connection ends for the signal's sake: the platform kills no sooner
-/// than 0.7 s after SIGTERM, and some clients never look whether their connections still stand.
-pub const SERVE_FOR: Duration = Duration::from_millis(750);
-/// Then it is served on while anybody asks, until from now on each answer is the last on its connection: so long
-/// whoever keeps asking has to ask once more.
-pub const LAST_ANSWERS_AFTER: Duration = Duration::from_millis(9500);
-/// And then nobody new is accepted.
-pub const END_AFTER: Duration = Duration::from_millis(9750);
-/// And the process ends, 10 s after SIGTERM.
-pub const LEAVE_BY: Duration = Duration::from_secs(10);
-/// Whoever has come or asked within this may be about to ask, and is waited for.
-pub const ASK_WITHIN: Duration = Duration::from_millis(150);
-/// Whoever would be refused for silence meanwhile is so no sooner than this after SIGTERM: 2.5 s after it connected at
-/// the latest, where the platform asks for it within 3 s.
-pub const SILENCE_PUT_OFF: Duration = SERVE_FOR.saturating_add(ASK_WITHIN);
-/// How often it is looked at whether anybody is.
-pub const END_LOOKS: Duration = Duration::from_millis(10);
-/// Clients taken from the listen queue as it closes, at most: those that it may hold.
-pub const LAST_CLIENTS_MOST: usize = 1024;
+/// Time within which a client must join or send a request; then it is refused. The platform permits that after 1 s
+/// and requires it after 3 s at the latest.
+pub const JOIN_TIMEOUT: Duration = Duration::from_millis(1100);
+/// A connection is established within two round trips of a few milliseconds; an unreachable machine never answers.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The relay answers within 50 ms or never; the rest allows for a shared core.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(200);
+/// Longest time for which a call with an unknown outcome waits for headroom before it is sent again. The time
+/// limits of the rules are delayed by as much where the relay breaks a call, and by more where it is silent.
+pub const MAX_UNKNOWN_OUTCOME_WAIT: Duration = Duration::from_millis(500);
+/// How often it is checked whether such a call may be sent again: as often as the module checks its channel.
+pub const UNKNOWN_OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A call connection that has been idle for longer is replaced before the next call: the relay closes it at 10 s or
+/// less.
+pub const MAX_CALL_CONNECTION_IDLE: Duration = Duration::from_secs(3);
+/// First delay before the relay watch is reopened; it doubles with each failure. With shorter delays a relay that is
+/// down is overloaded with connects; with longer ones acknowledgements and departures of proxies are missed.
+pub const MIN_RELAY_WATCH_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest delay before the relay watch is reopened.
+pub const MAX_RELAY_WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Discovery answers requests one after another, each within its own limit of a second.
+pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A discovery watch sends a sign of life every 2 s. Silence must be detected well within the 6 s that the rules
+/// allow.
+pub const DISCOVERY_WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// A server that takes longer to answer a probe is not serving.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Reports arrive in pieces within milliseconds of each other; they are gathered for this long into one batch.
+pub const BATCH_GATHER_DELAY: Duration = Duration::from_millis(5);
+/// A batch of this many events is handed over without gathering more.
+pub const MAX_BATCH_EVENTS: usize = 8192;
+/// Reads of one connection in a turn, of 64 KiB each; then the other connections are read.
+pub const MAX_READS_PER_TURN: usize = 8;
+/// The limit of concurrent probes is the number of allowed sockets divided by this, within the two bounds below. An
+/// unresponsive server occupies a probe until its deadline.
+pub const SOCKETS_PER_PROBE: usize = 5;
+/// Smallest limit of concurrent probes.
+pub const MIN_PROBE_LIMIT: usize = 16;
+/// Largest limit of concurrent probes.
+pub const MAX_PROBE_LIMIT: usize = 256;
+/// Connections of one zone's collector. The newest is the live one; the ends of others may not have been noticed.
+pub const MAX_COLLECTORS_PER_ZONE: usize = 3;
+/// Descriptors of the process itself: standard streams, poll, signals, listener, configuration file.
+pub const RESERVED_FOR_PROCESS: usize = 12;
+/// Descriptors for connections to relay and discovery, each with a second one that replaces it.
+pub const RESERVED_FOR_OUTGOING: usize = 8;
+/// Descriptors that clients may not use; those of probes are added.
+pub const RESERVED_DESCRIPTORS: usize = RESERVED_FOR_PROCESS + RESERVED_FOR_OUTGOING;
+/// Failures of `accept` in one turn, at most. Most pass at once, and a client that waits longer soon misses its time limit.
+pub const MAX_ACCEPT_FAILURES: u32 = 16;
+/// Delay before accepting continues: after failures, while all slots are taken, and where a client may still be
+/// waiting.
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Calls of `accept` in a row that find the listen queue empty after the poll has reported it readable. A call may
+/// return `WouldBlock` although a client is waiting.
+pub const ACCEPT_ATTEMPTS: u32 = 16;
+/// The same for checks that the poll has not asked for.
+pub const PERIODIC_ACCEPT_ATTEMPTS: u32 = 4;
+/// Where the poll reported a client and none was found, the queue is checked this often, each time after
+/// [`ACCEPT_RETRY_DELAY`]: for 0.2 s, after which the periodic checks of all sockets go on.
+pub const ACCEPT_RETRIES: u32 = 40;
+/// An unjoined client that has been idle for less may be about to send a request, which closing would lose.
+pub const MIN_EVICTION_IDLE: Duration = Duration::from_millis(100);
+/// Unjoined clients that may be marked at a time to be closed after their next answers.
+pub const MAX_CLOSING_FOR_SLOTS: usize = 16;
+/// The poll reports each arrival once; at this interval every socket is checked all the same. A shorter one costs
+/// system calls; a longer one delays data that is missed when a call wrongly returns `WouldBlock`.
+pub const SOCKET_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before a socket is checked again after a transfer failed for want of memory or buffers, or may have
+/// wrongly returned `WouldBlock`.
+pub const RECHECK_DELAY: Duration = Duration::from_millis(5);
+/// Rechecks after a call that may have wrongly returned `WouldBlock`.
+pub const RECHECKS: u32 = 8;
+/// Attempts to read in each recheck.
+pub const ATTEMPTS_PER_RECHECK: u32 = 4;
+/// After such a call every read is followed by rechecks for this long.
+pub const READ_RECHECK_DURATION: Duration = Duration::from_secs(1);
+/// How often a timeout is postponed, each time by [`RECHECK_DELAY`], while reads fail for want of resources: for
+/// 0.5 s, which the rules allow beyond each limit.
+pub const MAX_TIMEOUT_POSTPONEMENTS: u32 = 100;
+/// Delay before a connection that the poll refused is registered again.
+pub const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Delay before a connect is retried. A connect that fails before anything was sent says nothing about the other
+/// side.
+pub const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// A client is closed this long after its last answer at the latest. An answer takes a round trip, and a client
+/// that keeps sending must be closed within 6 s.
+pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Bytes of a client that are read and discarded after its last answer: a few of the largest messages.
+pub const MAX_DISCARDED_BYTES: usize = 4 << 20;
+/// How long a resource that is missing at the start (an address, a descriptor, memory) is waited for. The platform
+/// counts more than 30 s as a failed start, and 10 s as slow.
+pub const STARTUP_RETRY_DURATION: Duration = Duration::from_secs(5);
+/// Delay between attempts to obtain it.
+pub const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Delay between attempts to read the configuration after SIGHUP. The former addresses close after 1.5 s.
+pub const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long those attempts go on. A disk or a file table that is full for longer needs an operator.
+pub const CONFIG_RETRY_DURATION: Duration = Duration::from_secs(10);
+/// Consecutive failures after which the poll counts as broken. Interruptions by signals are not counted.
+pub const MAX_CONSECUTIVE_POLL_FAILURES: u32 = 100;
+/// Interval between status lines in the log.
+pub const STATUS_INTERVAL: Duration = Duration::from_secs(10);
+/// A server that has been unlisted for this long is forgotten: no probe, report or order for it is in flight by
+/// then.
+pub const FORGET_SERVER_DELAY: Duration = Duration::from_secs(20);
+/// Interval between log lines of the module's view of servers, where they are enabled: as often as their health is
+/// evaluated.
+pub const BELIEFS_INTERVAL: Duration = Duration::from_secs(1);
+/// A client that was warned of its silence may still send a request within this time.
+pub const WARNED_CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Queued calls may still be sent for this long after SIGTERM.
+pub const SHUTDOWN_CALLS_DURATION: Duration = Duration::from_millis(250);
+/// For this long after SIGTERM clients are served as before, and no connection is closed because of the signal. The
+/// platform kills no sooner than 0.7 s after SIGTERM, and some clients never check whether their connections are
+/// still open.
+pub const SHUTDOWN_SERVE_DURATION: Duration = Duration::from_millis(750);
+/// From [`SHUTDOWN_SERVE_DURATION`] on, clients are served while any of them sends requests. From this time after
+/// SIGTERM each connection ends with its next answer, so that a client that keeps sending has to connect again.
+pub const SHUTDOWN_LAST_ANSWERS_DELAY: Duration = Duration::from_millis(9500);
+/// From this time after SIGTERM no new clients are accepted.
+pub const SHUTDOWN_STOP_ACCEPTING_DELAY: Duration = Duration::from_millis(9750);
+/// The process exits 10 s after SIGTERM.
+pub const SHUTDOWN_EXIT_DELAY: Duration = Duration::from_secs(10);
+/// A client that has connected or sent a request within this time may be about to send one, and is waited for.
+pub const REQUEST_GRACE_PERIOD: Duration = Duration::from_millis(150);
+/// During shutdown, clients are refused for silence no sooner than this after SIGTERM. That is 2.5 s after they
+/// connected at the latest, and the platform requires it within 3 s.
+pub const SHUTDOWN_SILENCE_DELAY: Duration = SHUTDOWN_SERVE_DURATION.saturating_add(REQUEST_GRACE_PERIOD);
+/// How often it is checked whether such clients remain.
+pub const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Clients accepted from the listen queue as it closes, at most: as many as it may hold.
+pub const MAX_FINAL_ACCEPTS: usize = 1024;
--- a/crates/whinhill-node/src/node.rs
+++ b/crates/whinhill-node/src/node.rs
@@ -1,4 +1,5 @@
-//! The assigner's state, and what passes between it and the module: events in batches, orders, lists.
+//! The assigner's state, and the exchange with the decision module (`whinhill::Assigner`): it takes
+//! batches of events and returns orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -23,240 +24,269 @@
 use whinhill_platform::roster::Roster;
 use whinhill_starts::Starts;
 
-use crate::accepting::NextClient;
+use crate::accepting::AcceptedClient;
 use crate::clock::Clock;
 use crate::connections::{Connections, Id};
-use crate::deadlines::{Deadlines, Due};
-use crate::failures::FailureLog;
+use crate::deadlines::{DeadlineKind, Deadlines};
+use crate::failure_log::FailureLog;
 use crate::limits::*;
 use crate::probe_queue::ProbeQueue;
-use crate::probes::Again;
-use crate::report::Counts;
-use crate::starting::{read_until_had, until_had};
+use crate::probes::PostponedProbe;
+use crate::startup_retry::{read_config_with_retry, retry_at_startup};
+use crate::status_log::Counters;
 use crate::NodeError;
 
-/// What the poll calls the listener, and the signals.
+/// The poll token of the listener.
 pub const LISTENER: Token = Token(usize::MAX - 1);
+/// The poll token of the signal handler.
 pub const SIGNALS: Token = Token(usize::MAX - 2);
-/// The log target of all that the module hears and orders: `--log-level whinhill::trace=debug` without reports,
-/// probes and answers, `=trace` with them. Servers are named by their indices, which the `server` lines explain.
+/// The log target of every event and order of the decision module. `--log-level whinhill::trace=debug` leaves out
+/// reports, probes and acknowledgements; `=trace` includes them. Servers are identified by index; the `server`
+/// lines map indices to names.
 pub const TRACE: &str = "whinhill::trace";
-/// Bytes read at a time.
-const BUFFER: usize = 64 * 1024;
-/// Events taken at a time.
-pub const EVENTS_MOST: usize = 256;
+/// Bytes read from a socket in one call.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Poll events handled in one call of the poll.
+pub const MAX_EVENTS_PER_POLL: usize = 256;
 
+/// All state of the assigner process; its methods are spread over the modules of this crate.
 pub(crate) struct Node {
     pub poll: Poll,
-    /// Until the end has come.
+    /// `None` once shutdown has stopped listening.
     pub listener: Option<TcpListener>,
-    /// Accepted, and without a place yet.
-    pub next_client: Option<NextClient>,
-    /// Looks that are still made at the listen queue though it seems empty.
-    pub accept_looks_left: u32,
+    /// A client that was accepted and waits for a connection slot.
+    pub waiting_client: Option<AcceptedClient>,
+    /// Remaining checks of the listen queue although it seems empty.
+    pub accept_retries_left: u32,
     pub signals: Signals,
     pub clock: Clock,
     pub deadlines: Deadlines,
     pub connections: Connections,
+    /// Reused for all reads.
     pub buffer: Vec<u8>,
+    /// Reused for all polls.
     pub events: Events,
-    pub poll_failures: u32,
-    /// Connections with more to read than one turn allows.
-    pub unread: Vec<Id>,
-    pub path: PathBuf,
-    /// Until when a file that cannot be read is tried again, and whether that was told.
-    pub config_until: Duration,
-    pub config_fails: bool,
+    /// Failures of the poll since it last succeeded.
+    pub consecutive_poll_failures: u32,
+    /// Connections with more to read than one turn of the loop allows.
+    pub unread_connections: Vec<Id>,
+    /// The configuration file.
+    pub config_path: PathBuf,
+    /// Until when a configuration file that cannot be read is retried.
+    pub config_retry_until: Duration,
+    /// Whether the current failure to read the configuration was logged.
+    pub config_error_logged: bool,
+    /// The configuration in force.
     pub config: PlatformConfig,
     pub names: Names,
-    /// Where each server listens, by its index.
-    pub addrs: Vec<Option<SocketAddr>>,
-    /// Servers that no list names any more, and since when.
-    pub gone: BTreeMap<usize, Duration>,
-    pub listed: BTreeSet<usize>,
+    /// Each server's listening address, by server index.
+    pub server_addrs: Vec<Option<SocketAddr>>,
+    /// Servers that are on no list any more, and since when.
+    pub unlisted_since: BTreeMap<usize, Duration>,
+    /// Indices of the servers on the current list.
+    pub listed_servers: BTreeSet<usize>,
+    /// The decision module.
     pub assigner: Assigner,
-    pub pending: Vec<Event>,
-    pub last_batch: Duration,
-    pub round: Duration,
-    pub calls: Calls,
-    pub calls_at: Option<Id>,
-    pub calls_used: Duration,
-    /// The connection for calls leads to a former address: it serves the call under way and no other.
-    pub calls_moved: bool,
-    pub news: News,
-    pub news_at: Option<Id>,
-    /// The news at a new address, while those of the former go on.
-    pub news_next_at: Option<Id>,
-    /// `news_at` leads to a former address.
-    pub news_moved: bool,
-    pub news_again: Duration,
-    pub version: Version,
-    pub starts: Starts,
-    /// The relay is not asked before discovery has told a list.
-    pub news_await_list: bool,
-    pub watch_at: Option<Id>,
-    /// Whether the last word of discovery, and of the relay's news, was a failure: told once, when it changes.
-    pub discovery_fails: bool,
-    pub news_fail: bool,
-    pub probes: ProbeQueue,
-    /// Probes whose connects failed at once, to be made again.
-    pub probes_again: Vec<Again>,
-    /// Whoever connected and is connected, and those of them who have not joined.
-    pub peers: usize,
-    pub strangers: usize,
-    pub peers_most: usize,
-    pub counts: Counts,
-    /// Lines that the log has lost.
+    /// Events for the next batch.
+    pub pending_events: Vec<Event>,
+    /// When the last batch was handed to the module.
+    pub last_batch_at: Duration,
+    /// Least time between two batches.
+    pub round_duration: Duration,
+    /// Orders for the relay, queued or in flight.
+    pub relay_calls: Calls,
+    pub call_connection: Option<Id>,
+    /// When the call connection last carried a call or an answer.
+    pub call_connection_used_at: Duration,
+    /// The call connection leads to a former address: it finishes the call in flight and starts no other.
+    pub call_connection_outdated: bool,
+    /// What the relay has reported.
+    pub relay_watch: News,
+    pub relay_watch_connection: Option<Id>,
+    /// The watch connection to a new address, while the one to the former address still counts.
+    pub next_relay_watch_connection: Option<Id>,
+    /// `relay_watch_connection` leads to a former address.
+    pub relay_watch_outdated: bool,
+    /// Delay before the next attempt to open the relay watch.
+    pub relay_watch_retry_delay: Duration,
+    /// The version of the server list.
+    pub list_version: Version,
+    /// When servers started.
+    pub server_starts: Starts,
+    /// The relay watch is not opened before discovery has sent a list.
+    pub relay_watch_awaits_list: bool,
+    /// The connection of the discovery watch.
+    pub discovery_watch_connection: Option<Id>,
+    /// Whether the latest result of discovery was a failure; a failure is logged only when this changes.
+    pub discovery_failing: bool,
+    /// The same for the relay watch.
+    pub relay_watch_failing: bool,
+    pub probe_queue: ProbeQueue,
+    /// Probes whose connects failed immediately and are retried.
+    pub postponed_probes: Vec<PostponedProbe>,
+    /// Connected clients.
+    pub client_count: usize,
+    /// Connected clients that have not joined and are not being closed.
+    pub unjoined_count: usize,
+    /// Connection slots for clients.
+    pub max_clients: usize,
+    pub counters: Counters,
+    /// Number of log lines that were lost.
     pub log_dropped: Arc<AtomicU64>,
-    /// The longest that anything due has waited since the last status: for the work of one turn, or for the
-    /// processor.
+    /// The longest delay of anything due since the last status line, caused by the work of one turn or by waiting
+    /// for the processor.
     pub longest_pause: Duration,
-    /// Since when the end was asked for.
-    pub ending: Option<Duration>,
-    /// Relay, discovery and servers have no connection of ours any more.
-    pub paths_closed: bool,
-    /// Each answer is the last on its connection.
-    pub last_answers: bool,
-    /// Until when reads are followed by further looks: a call has been wrong of late.
-    pub look_closely_until: Duration,
-    pub failures: FailureLog,
+    /// When SIGTERM or SIGINT arrived.
+    pub shutdown_started_at: Option<Duration>,
+    /// All connections to relay, discovery and servers are closed.
+    pub outgoing_closed: bool,
+    /// Each connection is closed after its next answer.
+    pub close_after_answer: bool,
+    /// Until when every read is followed by rechecks, because a read has recently missed data.
+    pub recheck_reads_until: Duration,
+    pub failure_log: FailureLog,
 }
 
 impl Node {
+    /// Reads the configuration, starts to listen and opens the relay watch.
     pub fn start(path: &Path, log_dropped: Arc<AtomicU64>) -> Result<Self, NodeError> {
-        // First of all: a signal that nobody waits for yet would end the process.
-        let io = |what| move |source| NodeError::Io { what, source };
-        let signals = until_had("signals", || Signals::new([SIGHUP, SIGTERM, SIGINT]));
-        let mut signals = signals.map_err(io("signals"))?;
-        let mut config = read_until_had(path)?;
-        let none = Roster { version: 0, whole: true, servers: Vec::new() };
-        let known = std::mem::replace(&mut config.known, Ok(none.clone())).unwrap_or_else(|error| {
-            warn!("the stored list cannot be used: {error}");
-            none
-        });
-        let faulty = |source| NodeError::Settings { path: path.into(), source };
-        let assigner = Assigner::new(&config.settings, config.seed).map_err(faulty)?;
-        let round = config.settings.span("round").map_err(faulty)?;
-        let poll = until_had("poll", Poll::new).map_err(io("poll"))?;
-        let registered = until_had("signals", || {
+        // Signal handlers come first: a signal without a handler would end the process.
+        let io_error = |what| move |source| NodeError::Io { what, source };
+        let signals = retry_at_startup("signals", || Signals::new([SIGHUP, SIGTERM, SIGINT]));
+        let mut signals = signals.map_err(io_error("signals"))?;
+        let mut config = read_config_with_retry(path)?;
+        let empty_list = Roster { version: 0, whole: true, servers: Vec::new() };
+        let stored_list =
+            std::mem::replace(&mut config.known, Ok(empty_list.clone())).unwrap_or_else(|error| {
+                warn!("the stored server list cannot be used: {error}");
+                empty_list
+            });
+        let settings_error = |source| NodeError::Settings { path: path.into(), source };
+        let assigner = Assigner::new(&config.settings, config.seed).map_err(settings_error)?;
+        let round_duration = config.settings.span("round").map_err(settings_error)?;
+        let poll = retry_at_startup("poll", Poll::new).map_err(io_error("poll"))?;
+        let registered = retry_at_startup("signals", || {
             let registered = poll.registry().register(&mut signals, SIGNALS, Interest::READABLE);
-            // Or it would count as registered the next time.
+            // Otherwise the next attempt would find it registered already.
             registered.inspect_err(|_| drop(poll.registry().deregister(&mut signals)))
         });
-        registered.map_err(io("signals"))?;
+        registered.map_err(io_error("signals"))?;
         let addr = config.listen;
-        let listen = |source| NodeError::Listen { addr, source };
-        let listener = until_had("the address to listen on", || {
+        let listen_error = |source| NodeError::Listen { addr, source };
+        let listener = retry_at_startup("the address to listen on", || {
             let mut listener = TcpListener::bind(addr)?;
             poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
             Ok(listener)
         });
-        let listener = listener.map_err(listen)?;
-        let addr = listener.local_addr().map_err(listen)?;
+        let listener = listener.map_err(listen_error)?;
+        let addr = listener.local_addr().map_err(listen_error)?;
         let clock = Clock::start();
         info!(
             name = config.name,
             %addr,
             sockets = config.limits.sockets,
             memory_mb = config.limits.memory_mb,
-            servers = known.servers.len(),
-            version = known.version,
+            servers = stored_list.servers.len(),
+            version = stored_list.version,
             "assigner starts"
         );
         debug!(target: TRACE, "settings {:?}", config.settings.0);
-        let probes_most = (config.limits.sockets / PROBES_PART).clamp(PROBES_MOST.0, PROBES_MOST.1);
+        let max_probes = (config.limits.sockets / SOCKETS_PER_PROBE).clamp(MIN_PROBE_LIMIT, MAX_PROBE_LIMIT);
         let mut node = Node {
             names: Names::new(&config.settings),
-            version: Version::new(known.version),
-            starts: Starts::default(),
-            peers_most: config.limits.sockets.saturating_sub(RESERVED + probes_most).max(8),
+            list_version: Version::new(stored_list.version),
+            server_starts: Starts::default(),
+            max_clients: config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + max_probes).max(8),
             poll,
             listener: Some(listener),
-            next_client: None,
-            accept_looks_left: 0,
+            waiting_client: None,
+            accept_retries_left: 0,
             signals,
             clock,
             deadlines: Deadlines::default(),
             connections: Connections::default(),
-            buffer: vec![0; BUFFER],
-            events: Events::with_capacity(EVENTS_MOST),
-            poll_failures: 0,
-            unread: Vec::new(),
-            path: path.into(),
-            config_until: Duration::ZERO,
-            config_fails: false,
-            addrs: Vec::new(),
-            gone: BTreeMap::new(),
-            listed: BTreeSet::new(),
+            buffer: vec![0; READ_BUFFER_BYTES],
+            events: Events::with_capacity(MAX_EVENTS_PER_POLL),
+            consecutive_poll_failures: 0,
+            unread_connections: Vec::new(),
+            config_path: path.into(),
+            config_retry_until: Duration::ZERO,
+            config_error_logged: false,
+            server_addrs: Vec::new(),
+            unlisted_since: BTreeMap::new(),
+            listed_servers: BTreeSet::new(),
             assigner,
-            pending: Vec::new(),
-            last_batch: Duration::ZERO,
-            round,
-            calls: Calls::default(),
-            calls_at: None,
-            calls_used: Duration::ZERO,
-            calls_moved: false,
-            news: News::default(),
-            news_at: None,
-            news_next_at: None,
-            news_moved: false,
-            news_again: NEWS_AGAIN.0,
-            news_await_list: false,
-            watch_at: None,
-            discovery_fails: false,
-            news_fail: false,
-            probes: ProbeQueue::new(probes_most),
-            probes_again: Vec::new(),
-            peers: 0,
-            strangers: 0,
-            counts: Counts::default(),
+            pending_events: Vec::new(),
+            last_batch_at: Duration::ZERO,
+            round_duration,
+            relay_calls: Calls::default(),
+            call_connection: None,
+            call_connection_used_at: Duration::ZERO,
+            call_connection_outdated: false,
+            relay_watch: News::default(),
+            relay_watch_connection: None,
+            next_relay_watch_connection: None,
+            relay_watch_outdated: false,
+            relay_watch_retry_delay: MIN_RELAY_WATCH_RETRY_DELAY,
+            relay_watch_awaits_list: false,
+            discovery_watch_connection: None,
+            discovery_failing: false,
+            relay_watch_failing: false,
+            probe_queue: ProbeQueue::new(max_probes),
+            postponed_probes: Vec::new(),
+            client_count: 0,
+            unjoined_count: 0,
+            counters: Counters::default(),
             log_dropped,
             longest_pause: Duration::ZERO,
-            ending: None,
-            paths_closed: false,
-            last_answers: false,
-            look_closely_until: Duration::ZERO,
-            failures: FailureLog::default(),
+            shutdown_started_at: None,
+            outgoing_closed: false,
+            close_after_answer: false,
+            recheck_reads_until: Duration::ZERO,
+            failure_log: FailureLog::default(),
             config,
         };
-        node.push_list(ListKind::Stored, &known);
-        // To the module an owner that no list names is gone: it must hear of none before it has a list.
-        node.news_await_list = known.servers.is_empty();
-        node.open_news();
-        node.deadlines.set(Due::Status, node.clock.now() + STATUS_EVERY);
-        node.deadlines.set(Due::Look, node.clock.now() + LOOK_EVERY);
+        node.push_list(ListKind::Stored, &stored_list);
+        // The module treats an owner that is on no list as gone, so it must not learn of owners before it has a
+        // list.
+        node.relay_watch_awaits_list = stored_list.servers.is_empty();
+        node.open_relay_watch();
+        node.deadlines.set(DeadlineKind::LogStatus, node.clock.now() + STATUS_INTERVAL);
+        node.deadlines.set(DeadlineKind::CheckAllSockets, node.clock.now() + SOCKET_CHECK_INTERVAL);
         Ok(node)
     }
 
-    pub fn batch(&mut self) {
+    /// Hands all pending events to the module and carries out or queues the orders it returns.
+    pub fn handle_batch(&mut self) {
         let now = self.clock.now();
-        self.last_batch = now;
-        let events = std::mem::take(&mut self.pending);
+        self.last_batch_at = now;
+        let events = std::mem::take(&mut self.pending_events);
         if events.is_empty() {
             return;
         }
-        self.counts.batches += 1;
+        self.counters.batches += 1;
         events.iter().for_each(trace_event);
-        let mut relay = Vec::new();
+        let mut relay_orders = Vec::new();
         for order in self.assigner.handle(now, &events) {
             match order {
-                Order::Watch => self.watch(),
-                Order::Fetch => self.fetch(),
-                Order::Probe { ep } => self.probe(ep),
-                // It asks anew only once the last one is due: that one may still stand where we are late.
-                Order::Wake { after } => self.deadlines.set(Due::Wake, now + after),
+                Order::Watch => self.start_discovery_watch(),
+                Order::Fetch => self.fetch_server_list(),
+                Order::Probe { ep } => self.queue_probe(ep),
+                // The module asks again only once its last wake-up is due. That one may still be set where this
+                // process is late, and is replaced.
+                Order::Wake { after } => self.deadlines.set(DeadlineKind::Wake, now + after),
                 Order::Log { text } => info!("{text}"),
                 other => {
                     debug!(target: TRACE, "order {other:?}");
                     let order = RelayOrder::of(&other, &self.names);
                     if let Some(RelayOrder::Line { slice, .. }) = order {
-                        self.news.line_ordered(slice);
+                        self.relay_watch.line_ordered(slice);
                     }
-                    relay.extend(order);
+                    relay_orders.extend(order);
                 }
             }
         }
-        self.calls.push(now, relay);
+        self.relay_calls.push(now, relay_orders);
     }
 }
 
--- a/crates/whinhill-node/src/probe_queue.rs
+++ b/crates/whinhill-node/src/probe_queue.rs
@@ -1,81 +1,81 @@
-//! Servers that wait for a probe, bounded in number under way. No I/O.
+//! The queue of servers to probe, with a limit on concurrent probes. No I/O.
 
 use std::collections::VecDeque;
 
 use whinhill::interface::Ep;
 
-/// What is known of one server's probes.
+/// The probes of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerProbes {
-    waiting: bool,
-    /// Its connect failed on our side, and is to be made again.
+    queued: bool,
+    /// A connect failed locally and is to be retried.
     postponed: bool,
     connections: usize,
 }
 
-/// Probes of all servers. Each server waits at most once, and is not asked again while it is being asked.
+/// The probes of all servers. Each server is queued at most once, and not while it is being probed.
 #[derive(Debug)]
 pub struct ProbeQueue {
-    most: usize,
+    max_connections: usize,
     connections: usize,
-    waiting: VecDeque<Ep>,
+    queued: VecDeque<Ep>,
     servers: Vec<ServerProbes>,
 }
 
 impl ProbeQueue {
-    /// An empty queue that lets so many probes be under way at a time.
-    pub fn new(most: usize) -> Self {
-        ProbeQueue { most, connections: 0, waiting: VecDeque::new(), servers: Vec::new() }
+    /// An empty queue that allows `max_connections` probes at a time.
+    pub fn new(max_connections: usize) -> Self {
+        ProbeQueue { max_connections, connections: 0, queued: VecDeque::new(), servers: Vec::new() }
     }
 
-    /// A server is to be probed; `false` if that is under way or it waits already.
+    /// Queues a server; `false` if it is queued or being probed already.
     pub fn push(&mut self, ep: Ep) -> bool {
         let server = self.server(ep.index);
-        if server.waiting || server.postponed || server.connections > 0 {
+        if server.queued || server.postponed || server.connections > 0 {
             return false;
         }
-        server.waiting = true;
-        self.waiting.push_back(ep);
+        server.queued = true;
+        self.queued.push_back(ep);
         true
     }
 
-    /// The server to be probed now, if any waits and there is room.
-    pub fn next(&mut self) -> Option<Ep> {
-        if !self.has_room() {
+    /// The server to probe now, if one is queued and the limit allows it.
+    pub fn pop_next(&mut self) -> Option<Ep> {
+        if !self.has_capacity() {
             return None;
         }
-        let ep = self.waiting.pop_front()?;
-        self.server(ep.index).waiting = false;
+        let ep = self.queued.pop_front()?;
+        self.server(ep.index).queued = false;
         Some(ep)
     }
 
-    /// A probe's connect failed on our side, and is to be made again; or that is over.
-    pub fn postpone(&mut self, index: usize, postponed: bool) {
+    /// Sets whether a connect to the server failed locally and is to be retried.
+    pub fn set_postponed(&mut self, index: usize, postponed: bool) {
         self.server(index).postponed = postponed;
     }
 
-    /// Whether another probe may be under way.
-    pub fn has_room(&self) -> bool {
-        self.connections < self.most
+    /// Whether another probe may be started.
+    pub fn has_capacity(&self) -> bool {
+        self.connections < self.max_connections
     }
 
-    /// A probe's connection is under way.
-    pub fn opened(&mut self, index: usize) {
+    /// Counts a connection that was opened for a probe.
+    pub fn add_connection(&mut self, index: usize) {
         self.connections += 1;
         self.server(index).connections += 1;
     }
 
-    /// A probe's connection is closed.
-    pub fn closed(&mut self, index: usize) {
+    /// Counts a probe's connection as closed.
+    pub fn remove_connection(&mut self, index: usize) {
         self.connections = self.connections.saturating_sub(1);
         let server = self.server(index);
         server.connections = server.connections.saturating_sub(1);
     }
 
-    /// The index may be another server's from now on.
+    /// Removes the index from the queue; it may be reused for another server.
     pub fn forget(&mut self, index: usize) {
-        self.waiting.retain(|ep| ep.index != index);
-        self.server(index).waiting = false;
+        self.queued.retain(|ep| ep.index != index);
+        self.server(index).queued = false;
     }
 
     fn server(&mut self, index: usize) -> &mut ServerProbes {
--- a/crates/whinhill-node/src/probe_queue/tests.rs
+++ b/crates/whinhill-node/src/probe_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Each test plays one server's or one round's probes.
+//! Each test covers the probes of one server or of one round.
 
 use super::*;
 
@@ -7,37 +7,37 @@
 }
 
 #[test]
-fn no_server_is_left_out_of_a_round_that_does_not_fit_at_once() {
+fn round_larger_than_the_limit_probes_every_server() {
     let mut queue = ProbeQueue::new(2);
     assert!((0..5).all(|index| queue.push(ep(index))));
     let mut probed = Vec::new();
-    while let Some(next) = queue.next() {
-        queue.opened(next.index);
+    while let Some(next) = queue.pop_next() {
+        queue.add_connection(next.index);
         probed.push(next.index);
-        if !queue.has_room() {
-            queue.closed(probed[probed.len() - 2]);
+        if !queue.has_capacity() {
+            queue.remove_connection(probed[probed.len() - 2]);
         }
     }
     assert_eq!(probed, [0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn a_server_that_is_being_asked_is_not_asked_again() {
+fn server_being_probed_is_not_queued_again() {
     let mut queue = ProbeQueue::new(2);
     assert!(queue.push(ep(0)));
     assert!(!queue.push(ep(0)));
-    let next = queue.next().unwrap();
-    queue.opened(next.index);
+    let next = queue.pop_next().unwrap();
+    queue.add_connection(next.index);
     assert!(!queue.push(ep(0)));
-    queue.closed(0);
+    queue.remove_connection(0);
     assert!(queue.push(ep(0)));
 }
 
 #[test]
-fn a_server_whose_connect_is_to_be_made_again_is_not_asked_twice() {
+fn server_with_a_postponed_probe_is_not_queued_again() {
     let mut queue = ProbeQueue::new(2);
-    queue.postpone(0, true);
+    queue.set_postponed(0, true);
     assert!(!queue.push(ep(0)));
-    queue.postpone(0, false);
+    queue.set_postponed(0, false);
     assert!(queue.push(ep(0)));
 }
--- a/crates/whinhill-node/src/probes.rs
+++ b/crates/whinhill-node/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of servers, bounded in number and time.
+//! Probes of servers, limited in number and in time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,126 +6,132 @@
 use whinhill::interface::{Ep, Event, LoadReport, Probe};
 use whinhill_platform::probe::{self, Probing};
 
-use crate::connection::{Connection, Kind};
+use crate::connection::{Connection, ConnectionKind};
 use crate::connections::Id;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::limits::*;
 use crate::node::Node;
 
-/// A probe whose connect failed at once.
+/// A probe whose connect failed immediately.
 #[derive(Debug)]
-pub struct Again {
+pub struct PostponedProbe {
     ep: Ep,
     probing: Probing,
-    /// When its time is over.
-    until: Duration,
+    /// When the probe counts as unanswered.
+    deadline: Duration,
 }
 
 impl Node {
     /// Probes a server now, or as soon as another probe has ended.
-    pub fn probe(&mut self, ep: Ep) {
-        self.counts.probes_left += u64::from(!self.probes.push(ep));
+    pub fn queue_probe(&mut self, ep: Ep) {
+        self.counters.probes_skipped += u64::from(!self.probe_queue.push(ep));
         self.start_probes();
     }
 
     fn start_probes(&mut self) {
-        while let Some(ep) = self.probes.next() {
-            let Some(addr) = self.addrs.get(ep.index).copied().flatten() else { continue };
-            self.counts.probes += 1;
-            let until = self.clock.now() + PROBE_WITHIN;
-            if !self.open_probe(ep, addr, Probing::default(), until) {
-                // The others would fare no better now.
+        while let Some(ep) = self.probe_queue.pop_next() {
+            let Some(addr) = self.server_addrs.get(ep.index).copied().flatten() else { continue };
+            self.counters.probes += 1;
+            let deadline = self.clock.now() + PROBE_TIMEOUT;
+            if !self.open_probe(ep, addr, Probing::default(), deadline) {
+                // The others would most likely fail now as well.
                 break;
             }
         }
     }
 
-    fn open_probe(&mut self, ep: Ep, addr: SocketAddr, probing: Probing, until: Duration) -> bool {
-        let (again, left) = (probing.clone(), until.saturating_sub(self.clock.now()));
-        let kind = Kind::Probe { ep, probing, until };
-        let opened = self.connect(addr, kind, &probe::request(addr), left).is_some();
+    fn open_probe(&mut self, ep: Ep, addr: SocketAddr, probing: Probing, deadline: Duration) -> bool {
+        let (retry_probing, time_left) = (probing.clone(), deadline.saturating_sub(self.clock.now()));
+        let kind = ConnectionKind::Probe { ep, probing, deadline };
+        let opened = self.connect(addr, kind, &probe::request(addr), time_left).is_some();
         if opened {
-            self.probes.opened(ep.index);
+            self.probe_queue.add_connection(ep.index);
         } else {
-            // Nothing is known of the server: it is ours that failed, and may not the next moment.
-            self.postpone_probe(Again { ep, probing: again, until });
+            // The failure is local and says nothing about the server; a retry may succeed.
+            self.postpone_probe(PostponedProbe { ep, probing: retry_probing, deadline });
         }
         opened
     }
 
-    fn postpone_probe(&mut self, again: Again) {
-        self.probes.postpone(again.ep.index, true);
-        self.probes_again.push(again);
-        self.deadlines.set_by(Due::Probes, self.clock.now() + CONNECT_AGAIN);
+    fn postpone_probe(&mut self, postponed: PostponedProbe) {
+        self.probe_queue.set_postponed(postponed.ep.index, true);
+        self.postponed_probes.push(postponed);
+        self.deadlines.set_if_earlier(DeadlineKind::RetryProbes, self.clock.now() + CONNECT_RETRY_DELAY);
     }
 
-    /// Makes the probes again whose connects failed, as long as their time is not over, and then those that wait.
-    pub fn probe_again(&mut self) {
+    /// Retries the probes whose connects failed, up to their deadlines, and then starts queued ones.
+    pub fn retry_postponed_probes(&mut self) {
         let now = self.clock.now();
-        for again in std::mem::take(&mut self.probes_again) {
-            let index = again.ep.index;
-            self.probes.postpone(index, false);
-            let Some(addr) = self.addrs.get(index).copied().flatten().filter(|_| now < again.until) else {
+        for postponed in std::mem::take(&mut self.postponed_probes) {
+            let index = postponed.ep.index;
+            self.probe_queue.set_postponed(index, false);
+            let Some(addr) =
+                self.server_addrs.get(index).copied().flatten().filter(|_| now < postponed.deadline)
+            else {
                 continue;
             };
-            if self.probes.has_room() {
-                self.open_probe(again.ep, addr, again.probing, again.until);
+            if self.probe_queue.has_capacity() {
+                self.open_probe(postponed.ep, addr, postponed.probing, postponed.deadline);
             } else {
-                self.postpone_probe(again);
+                self.postpone_probe(postponed);
             }
         }
         self.start_probes();
     }
 
-    pub fn probe_bytes(&mut self, id: Id, bytes: &[u8]) {
-        let Some(Connection { kind: Kind::Probe { ep, probing, .. }, .. }) = self.connections.get_mut(id)
+    /// Bytes of a probe's answer arrived.
+    pub fn handle_probe_bytes(&mut self, id: Id, bytes: &[u8]) {
+        let Some(Connection { kind: ConnectionKind::Probe { ep, probing, .. }, .. }) =
+            self.connections.get_mut(id)
         else {
             return;
         };
         let ep = *ep;
         if let Some((result, load)) = probing.take(bytes) {
-            self.probed(id, ep, result, load);
+            self.finish_probe(id, ep, result, load);
         }
     }
 
-    /// Its connection ended.
-    pub fn probe_ended(&mut self, id: Id) {
+    /// The connection of a probe ended.
+    pub fn handle_probe_eof(&mut self, id: Id) {
         let now = self.clock.now();
-        let Some(Connection { kind: Kind::Probe { ep, probing, until }, .. }) = self.connections.get_mut(id)
+        let Some(Connection { kind: ConnectionKind::Probe { ep, probing, deadline }, .. }) =
+            self.connections.get_mut(id)
         else {
             return;
         };
-        let (ep, until) = (*ep, *until);
+        let (ep, deadline) = (*ep, *deadline);
         if let Some((result, load)) = probing.ended() {
-            return self.probed(id, ep, result, load);
+            return self.finish_probe(id, ep, result, load);
         }
         let probing = std::mem::take(probing);
-        match self.addrs.get(ep.index).copied().flatten().filter(|_| now < until) {
+        match self.server_addrs.get(ep.index).copied().flatten().filter(|_| now < deadline) {
             Some(addr) => {
                 self.close(id);
-                self.counts.probes_again += 1;
-                self.open_probe(ep, addr, probing, until);
+                self.counters.probes_retried += 1;
+                self.open_probe(ep, addr, probing, deadline);
             }
-            None => self.probed(id, ep, Probe::Unanswered, LoadReport::default()),
+            None => self.finish_probe(id, ep, Probe::Unanswered, LoadReport::default()),
         }
     }
 
-    /// Its time ended.
-    pub fn probe_timed_out(&mut self, id: Id) {
-        if let Some(Connection { kind: Kind::Probe { ep, .. }, .. }) = self.connections.get(id) {
-            self.probed(id, *ep, Probe::Unanswered, LoadReport::default());
+    /// A probe reached its deadline.
+    pub fn handle_probe_timeout(&mut self, id: Id) {
+        if let Some(Connection { kind: ConnectionKind::Probe { ep, .. }, .. }) = self.connections.get(id) {
+            self.finish_probe(id, *ep, Probe::Unanswered, LoadReport::default());
         }
     }
 
-    fn probed(&mut self, id: Id, ep: Ep, result: Probe, load: LoadReport) {
+    /// Closes the connection of a probe and reports the result to the module.
+    fn finish_probe(&mut self, id: Id, ep: Ep, result: Probe, load: LoadReport) {
         if let Some(connection) = self.close(id).filter(|_| result == Probe::Unanswered) {
-            self.counts.probes_unanswered += 1;
+            self.counters.probes_unanswered += 1;
             let name = self.names.server(ep.index).unwrap_or("-");
-            let why =
-                if connection.heard { "a probe's answer cannot be read" } else { "a probe is not answered" };
-            self.failures.log_server(name, connection.remote, why);
+            let reason =
+                if connection.has_received { "unreadable answer to a probe" } else { "no answer to a probe" };
+            self.failure_log.log_server(name, connection.remote, reason);
         }
-        self.pending.push(Event::Probed { ep, result, load });
+        self.pending_events.push(Event::Probed { ep, result, load });
         self.start_probes();
     }
 }
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -1,4 +1,7 @@
-//! The relay's two connections: one for calls, one for news.
+//! The two connections to the relay: one for calls, one for the relay watch.
+//!
+//! The relay watch is the stream on which the relay reports proxies, slices and lines; it is unrelated to the
+//! discovery watch.
 
 use tracing::{info, warn};
 use whinhill::interface::{Entry, Event, ListKind, Listed, SliceId, ALL_LET_IN};
@@ -8,287 +11,314 @@
 use whinhill_platform::relay::news::{self, Owed, Place, Told};
 use whinhill_platform::relay::orders::RelayOrder;
 
-use crate::connection::{Connection, Kind};
+use crate::connection::{Connection, ConnectionKind};
 use crate::connections::Id;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::limits::*;
 use crate::node::Node;
 
-/// Bytes of an answer to a call.
-const ANSWER_MOST: usize = 256;
+/// Largest answer to a call, in bytes.
+const MAX_ANSWER_BYTES: usize = 256;
 
 impl Node {
-    // News.
+    // Relay watch.
 
-    /// Asks for news at the relay's address: in place of what has ended, or beside a former address.
-    pub fn open_news(&mut self) {
-        if self.news_await_list {
+    /// Opens the relay watch at the relay's address, either in place of one that ended or beside one at a former
+    /// address.
+    pub fn open_relay_watch(&mut self) {
+        if self.relay_watch_awaits_list {
             return;
         }
-        let place = match (self.news_at, self.news_next_at) {
+        let place = match (self.relay_watch_connection, self.next_relay_watch_connection) {
             (None, None) => Place::Current,
-            (Some(_), None) if self.news_moved => Place::Next,
+            (Some(_), None) if self.relay_watch_outdated => Place::Next,
             _ => return,
         };
-        let Some(id) = self.connect(self.config.relay, Kind::News, news::REQUEST, CONNECT_WITHIN) else {
-            return self.news_lost(place, "cannot connect");
+        let Some(id) =
+            self.connect(self.config.relay, ConnectionKind::RelayWatch, news::REQUEST, CONNECT_TIMEOUT)
+        else {
+            return self.lose_relay_watch(place, "cannot connect");
         };
         match place {
-            Place::Current => (self.news_at, self.news_moved) = (Some(id), false),
-            Place::Next => self.news_next_at = Some(id),
+            Place::Current => (self.relay_watch_connection, self.relay_watch_outdated) = (Some(id), false),
+            Place::Next => self.next_relay_watch_connection = Some(id),
         }
-        self.news.opened(place, self.clock.now());
-        self.watch_news(place);
+        self.relay_watch.opened(place, self.clock.now());
+        self.schedule_relay_watch_timeout(place);
     }
 
-    fn watch_news(&mut self, place: Place) {
-        match self.news.due_at(place) {
-            Some(at) => self.deadlines.set(Due::News(place), at),
-            None => self.deadlines.clear(Due::News(place)),
+    /// Sets or clears the timeout of a relay watch.
+    fn schedule_relay_watch_timeout(&mut self, place: Place) {
+        match self.relay_watch.due_at(place) {
+            Some(at) => self.deadlines.set(DeadlineKind::RelayWatch(place), at),
+            None => self.deadlines.clear(DeadlineKind::RelayWatch(place)),
         }
     }
 
-    fn news_place(&self, id: Id) -> Place {
-        if self.news_next_at == Some(id) {
+    fn relay_watch_place(&self, id: Id) -> Place {
+        if self.next_relay_watch_connection == Some(id) {
             Place::Next
         } else {
             Place::Current
         }
     }
 
-    pub fn news_ended(&mut self, id: Id, why: &str) {
-        self.news_lost(self.news_place(id), why);
+    /// The connection of a relay watch ended.
+    pub fn handle_relay_watch_end(&mut self, id: Id, why: &str) {
+        self.lose_relay_watch(self.relay_watch_place(id), why);
     }
 
-    fn news_lost(&mut self, place: Place, why: &str) {
-        let was_live = place == Place::Current && self.news.live();
-        self.counts.news_lost += u64::from(was_live);
+    /// Closes a relay watch that failed and schedules the next attempt.
+    fn lose_relay_watch(&mut self, place: Place, why: &str) {
+        let was_live = place == Place::Current && self.relay_watch.live();
+        self.counters.relay_watches_lost += u64::from(was_live);
         let id = match place {
-            Place::Current => self.news_at.take(),
-            Place::Next => self.news_next_at.take(),
+            Place::Current => self.relay_watch_connection.take(),
+            Place::Next => self.next_relay_watch_connection.take(),
         };
         id.into_iter().for_each(|id| drop(self.close(id)));
-        self.news.closed(place);
-        if !self.news.live() && !std::mem::replace(&mut self.news_fail, true) {
-            warn!(proxies = self.news.proxies(), slices = self.news.slices(), "no news of the relay: {why}");
+        self.relay_watch.closed(place);
+        if !self.relay_watch.live() && !std::mem::replace(&mut self.relay_watch_failing, true) {
+            warn!(
+                proxies = self.relay_watch.proxies(),
+                slices = self.relay_watch.slices(),
+                "no news of the relay: {why}"
+            );
         }
-        self.deadlines.clear(Due::News(place));
-        self.deadlines.set(Due::OpenNews, self.clock.now() + self.news_again);
-        self.news_again = (self.news_again * 2).min(NEWS_AGAIN.1);
+        self.deadlines.clear(DeadlineKind::RelayWatch(place));
+        self.deadlines.set(DeadlineKind::ReopenRelayWatch, self.clock.now() + self.relay_watch_retry_delay);
+        self.relay_watch_retry_delay = (self.relay_watch_retry_delay * 2).min(MAX_RELAY_WATCH_RETRY_DELAY);
     }
 
-    pub fn news_passed(&mut self, place: Place) {
+    /// Nothing arrived on a relay watch before its timeout.
+    pub fn handle_relay_watch_timeout(&mut self, place: Place) {
         let at = match place {
-            Place::Current => self.news_at,
-            Place::Next => self.news_next_at,
+            Place::Current => self.relay_watch_connection,
+            Place::Next => self.next_relay_watch_connection,
         };
-        // What has arrived counts before the time does.
-        if at.is_some_and(|id| self.look_before_limit(id)) {
-            return self.deadlines.set(Due::News(place), self.clock.now() + TRANSFER_AGAIN);
+        // Data that has arrived counts before the timeout does.
+        if at.is_some_and(|id| self.check_before_timeout(id)) {
+            return self.deadlines.set(DeadlineKind::RelayWatch(place), self.clock.now() + RECHECK_DELAY);
         }
-        let (now, mut told) = (self.clock.now(), Vec::new());
-        let owed = owed(&self.calls, &self.assigner);
-        let alive = self.news.passed(place, now, &mut self.names, owed, &mut told);
-        self.take_news(told);
-        let place = self.replace_former(place);
+        let (now, mut updates) = (self.clock.now(), Vec::new());
+        let pending = pending_orders(&self.relay_calls, &self.assigner);
+        let alive = self.relay_watch.passed(place, now, &mut self.names, pending, &mut updates);
+        self.handle_relay_updates(updates);
+        let place = self.promote_next_relay_watch(place);
         if alive {
-            self.watch_news(place);
+            self.schedule_relay_watch_timeout(place);
         } else {
-            self.news_lost(place, "silent");
+            self.lose_relay_watch(place, "silent");
         }
     }
 
-    pub fn news_bytes(&mut self, id: Id, bytes: &[u8]) {
-        self.deadlines.clear(Due::Connection(id));
-        let (place, now, mut told) = (self.news_place(id), self.clock.now(), Vec::new());
-        let owed = owed(&self.calls, &self.assigner);
-        let taken = self.news.take(place, now, bytes, &mut self.names, owed, &mut told);
-        self.take_news(told);
-        let place = self.replace_former(place);
-        match taken {
-            Ok(()) => self.watch_news(place),
-            Err(error) => self.news_lost(place, &error.to_string()),
+    /// Bytes arrived on a relay watch.
+    pub fn handle_relay_watch_bytes(&mut self, id: Id, bytes: &[u8]) {
+        self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
+        let (place, now, mut updates) = (self.relay_watch_place(id), self.clock.now(), Vec::new());
+        let pending = pending_orders(&self.relay_calls, &self.assigner);
+        let result = self.relay_watch.take(place, now, bytes, &mut self.names, pending, &mut updates);
+        self.handle_relay_updates(updates);
+        let place = self.promote_next_relay_watch(place);
+        match result {
+            Ok(()) => self.schedule_relay_watch_timeout(place),
+            Err(error) => self.lose_relay_watch(place, &error.to_string()),
         }
     }
 
-    /// Once the connection at the new address has told what stands, the former has done its part.
-    fn replace_former(&mut self, place: Place) -> Place {
-        if place == Place::Current || self.news.is_open(Place::Next) {
+    /// Once the watch at the new address has sent the complete current state, it replaces the watch at the former
+    /// address.
+    fn promote_next_relay_watch(&mut self, place: Place) -> Place {
+        if place == Place::Current || self.relay_watch.is_open(Place::Next) {
             return place;
         }
-        self.deadlines.clear(Due::News(Place::Next));
-        let next = self.news_next_at.take();
-        if let Some(former) = std::mem::replace(&mut self.news_at, next) {
+        self.deadlines.clear(DeadlineKind::RelayWatch(Place::Next));
+        let next = self.next_relay_watch_connection.take();
+        if let Some(former) = std::mem::replace(&mut self.relay_watch_connection, next) {
             self.close(former);
         }
-        self.news_moved = false;
+        self.relay_watch_outdated = false;
         Place::Current
     }
 
-    fn take_news(&mut self, told: Vec<Told>) {
+    /// Turns updates from the relay watch into events and orders.
+    fn handle_relay_updates(&mut self, updates: Vec<Told>) {
         let now = self.clock.now();
-        for told in told {
-            match told {
+        for update in updates {
+            match update {
                 Told::Event(event) => {
                     if let Event::Taken { slice } | Event::Given { slice } = event {
-                        self.calls.forget(slice);
+                        self.relay_calls.forget(slice);
                     }
-                    self.pending.push(event);
+                    self.pending_events.push(event);
                 }
                 Told::Acked { proxy, mark, way } => {
-                    let way = self.calls.since_order(now, mark, way);
-                    self.pending.push(Event::Acked { proxy, mark, way });
+                    let way = self.relay_calls.since_order(now, mark, way);
+                    self.pending_events.push(Event::Acked { proxy, mark, way });
                 }
                 Told::Anew { slice, differs } => {
                     if differs {
-                        self.counts.differing += 1;
+                        self.counters.lines_differing += 1;
                         info!(slice, "the store holds another line");
                     } else {
-                        self.counts.anew += 1;
+                        self.counters.slices_reacquired += 1;
                     }
-                    self.take_anew(slice);
+                    self.reacquire_slice(slice);
                 }
                 Told::Extra { slice, server } => {
-                    info!(slice, server, "a line beside the owner's is ended");
-                    self.calls.push(now, [RelayOrder::Line { slice, server, on: false }]);
+                    info!(slice, server, "a line other than the owner's is removed");
+                    self.relay_calls.push(now, [RelayOrder::Line { slice, server, on: false }]);
                 }
                 Told::Settled { again } => {
-                    (self.news_again, self.news_fail) = (NEWS_AGAIN.0, false);
-                    let (proxies, slices) = (self.news.proxies(), self.news.slices());
+                    (self.relay_watch_retry_delay, self.relay_watch_failing) =
+                        (MIN_RELAY_WATCH_RETRY_DELAY, false);
+                    let (proxies, slices) = (self.relay_watch.proxies(), self.relay_watch.slices());
                     info!(proxies, slices, again, "news of the relay stand");
                     if again {
-                        self.calls.mark_again(now);
+                        self.relay_calls.mark_again(now);
                     }
                 }
             }
         }
     }
 
-    /// The slice counts as given now, with the line that the store holds and all methods let in.
-    fn take_anew(&mut self, slice: usize) {
-        self.calls.forget(slice);
-        self.pending.push(Event::Given { slice });
-        if let Some(name) = self.news.line_of(slice) {
+    /// Treats the slice as acquired now, with the line that the store holds, and orders that all its methods are
+    /// admitted.
+    fn reacquire_slice(&mut self, slice: usize) {
+        self.relay_calls.forget(slice);
+        self.pending_events.push(Event::Given { slice });
+        if let Some(name) = self.relay_watch.line_of(slice) {
             let ep = self.names.ep(name);
-            self.pending.push(Event::Stored { slice, ep });
+            self.pending_events.push(Event::Stored { slice, ep });
         }
         let tries = self.config.settings.get("familyInfo.retryDefault").unwrap_or(0);
-        let open = RelayOrder::Level { slice, methods: 0, share: ALL_LET_IN, tries };
-        self.calls.push(self.clock.now(), [open]);
+        let admit_all = RelayOrder::Level { slice, methods: 0, share: ALL_LET_IN, tries };
+        self.relay_calls.push(self.clock.now(), [admit_all]);
     }
 
     // Calls.
 
-    /// Starts a call if one is due and the news tell what is ours.
-    pub fn start_call(&mut self) {
+    /// Starts a call if one is due and the relay watch has told which slices are ours.
+    pub fn start_relay_call(&mut self) {
         let now = self.clock.now();
-        let Some(at) = self.calls.due_at() else { return };
+        let Some(at) = self.relay_calls.due_at() else { return };
         if at > now {
-            return self.deadlines.set(Due::Call, at);
+            return self.deadlines.set(DeadlineKind::RelayCall, at);
         }
-        if !self.news.live() {
+        if !self.relay_watch.live() {
             return;
         }
-        if let Some((orders, since)) = self.calls.in_doubt() {
-            // If it was carried out, it waits in the channel already, and would a second time.
-            if now < since + DOUBT_WAITS && !self.assigner.may_send_again(orders) {
-                return self.deadlines.set(Due::Call, now + DOUBT_LOOKS);
+        if let Some((orders, since)) = self.relay_calls.in_doubt() {
+            // If the call was carried out, its orders are in the channel already and would be queued a second time.
+            if now < since + MAX_UNKNOWN_OUTCOME_WAIT && !self.assigner.may_send_again(orders) {
+                return self.deadlines.set(DeadlineKind::RelayCall, now + UNKNOWN_OUTCOME_CHECK_INTERVAL);
             }
             self.assigner.sent_again(now, orders);
         }
-        if now > self.calls_used + CALL_IDLE || std::mem::take(&mut self.calls_moved) {
-            // The relay closes idle connections: an order must not be what finds that out.
-            self.calls_at.take().into_iter().for_each(|id| drop(self.close(id)));
+        if now > self.call_connection_used_at + MAX_CALL_CONNECTION_IDLE
+            || std::mem::take(&mut self.call_connection_outdated)
+        {
+            // The relay closes idle connections, and an order should not be lost on a connection that it has
+            // closed.
+            self.call_connection.take().into_iter().for_each(|id| drop(self.close(id)));
         }
-        let Some(text) = self.calls.next_call(now, &self.names) else { return };
-        self.calls_used = now;
-        self.counts.calls += 1;
-        if let Some(id) = self.calls_at {
+        let Some(text) = self.relay_calls.next_call(now, &self.names) else { return };
+        self.call_connection_used_at = now;
+        self.counters.calls += 1;
+        if let Some(id) = self.call_connection {
             let sent = self.connections.get_mut(id).map(|c| c.send(text.as_bytes()));
-            let Some(Ok(outgoing)) = sent else { return self.call_lost("broken") };
-            self.deadlines.set(Due::Connection(id), now + CALL_WITHIN);
-            return self.flushed(id, Ok(outgoing));
+            let Some(Ok(outcome)) = sent else { return self.handle_lost_call("broken") };
+            self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now + CALL_TIMEOUT);
+            return self.handle_write_outcome(id, Ok(outcome));
         }
-        let kind = Kind::Calls(Lines::new(ANSWER_MOST));
-        self.calls_at = self.connect(self.config.relay, kind, text.as_bytes(), CONNECT_WITHIN);
-        if self.calls_at.is_none() {
-            self.call_lost("cannot connect");
+        let kind = ConnectionKind::RelayCalls(Lines::new(MAX_ANSWER_BYTES));
+        self.call_connection = self.connect(self.config.relay, kind, text.as_bytes(), CONNECT_TIMEOUT);
+        if self.call_connection.is_none() {
+            self.handle_lost_call("cannot connect");
         }
     }
 
-    pub fn call_bytes(&mut self, id: Id, bytes: &[u8]) {
+    /// Bytes arrived on the call connection.
+    pub fn handle_relay_answer(&mut self, id: Id, bytes: &[u8]) {
         let now = self.clock.now();
-        let Some(Connection { kind: Kind::Calls(lines), .. }) = self.connections.get_mut(id) else { return };
+        let Some(Connection { kind: ConnectionKind::RelayCalls(lines), .. }) = self.connections.get_mut(id)
+        else {
+            return;
+        };
         lines.push(bytes);
         let line = match lines.next_line() {
             Ok(None) => return,
             Ok(Some(line)) => line.to_vec(),
             Err(_) => Vec::new(),
         };
-        let more = !lines.rest().is_empty();
-        if !self.calls.under_way() || more {
-            // Answers to nothing: the next call would take one of them for its own.
-            return self.call_lost("out of step");
+        let has_more = !lines.rest().is_empty();
+        if !self.relay_calls.under_way() || has_more {
+            // The extra data answers no call; the next call would take it for its own answer.
+            return self.handle_lost_call("out of step");
         }
-        self.deadlines.clear(Due::Connection(id));
-        self.calls_used = now;
-        match self.calls.answered(now, &line) {
+        self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
+        self.call_connection_used_at = now;
+        match self.relay_calls.answered(now, &line) {
             Outcome::Done => {}
-            Outcome::Short { dropped } => self.call_short(dropped),
-            Outcome::NotDone { reason } if reason == "throttled" => self.counts.throttled += 1,
-            Outcome::NotDone { reason } => warn!("the relay did not take a call: {reason}"),
+            Outcome::Short { dropped } => self.handle_partial_call(dropped),
+            Outcome::NotDone { reason } if reason == "throttled" => self.counters.calls_throttled += 1,
+            Outcome::NotDone { reason } => warn!("the relay rejected a call: {reason}"),
             Outcome::Unknown => {
-                info!(unknown = self.calls.unknown, "an answer of the relay cannot be read");
+                info!(unknown = self.relay_calls.unknown, "unreadable answer from the relay");
                 self.close(id);
             }
         }
-        for set in self.calls.take_confirmed() {
-            self.news.confirmed(set);
+        for set in self.relay_calls.take_confirmed() {
+            self.relay_watch.confirmed(set);
         }
     }
 
-    /// The relay stopped at an order. Of a server that it does not know, the module hears that it is gone.
-    fn call_short(&mut self, dropped: RelayOrder) {
-        warn!("the relay did not take {dropped:?}");
+    /// The relay stopped at an order. A server that the relay does not know is reported to the module as gone.
+    fn handle_partial_call(&mut self, dropped: RelayOrder) {
+        warn!("the relay rejected an order: {dropped:?}");
         let RelayOrder::Line { server, on: true, .. } = dropped else { return };
         let Some(ep) = self.names.known(&server) else { return };
         let entry = Entry { ep, zone: 0, listed: Listed::Gone, size: 1.0, started: None };
-        self.pending.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
+        self.pending_events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
     }
 
-    pub fn call_lost(&mut self, why: &str) {
+    /// The call connection failed or the call timed out.
+    pub fn handle_lost_call(&mut self, why: &str) {
         let now = self.clock.now();
-        let whole =
-            self.calls_at.is_some_and(|id| self.connections.get(id).is_some_and(Connection::all_written));
-        if let Some(id) = self.calls_at.take() {
+        let fully_written = self
+            .call_connection
+            .is_some_and(|id| self.connections.get(id).is_some_and(Connection::all_written));
+        if let Some(id) = self.call_connection.take() {
             self.close(id);
         }
-        match self.calls.lost(now, whole) {
-            Outcome::Unknown => info!(unknown = self.calls.unknown, "a call's outcome is unknown: {why}"),
+        match self.relay_calls.lost(now, fully_written) {
+            Outcome::Unknown => {
+                info!(unknown = self.relay_calls.unknown, "a call's outcome is unknown: {why}")
+            }
             Outcome::NotDone { .. } => {
-                self.counts.calls_not_sent += 1;
-                self.calls.pause(now);
+                self.counters.calls_not_sent += 1;
+                self.relay_calls.pause(now);
             }
             _ => {}
         }
     }
 
-    /// The relay is at another address: news are asked for there while the former goes on, and a call under way
-    /// ends first.
-    pub fn move_relay(&mut self) {
-        if let Some(id) = self.news_next_at.take() {
+    /// The relay has a new address. The watch is opened there while the former one goes on, and a call in flight
+    /// finishes first.
+    pub fn switch_relay_address(&mut self) {
+        if let Some(id) = self.next_relay_watch_connection.take() {
             self.close(id);
-            self.news.closed(Place::Next);
+            self.relay_watch.closed(Place::Next);
         }
-        self.news_moved = self.news_at.is_some();
-        self.news_again = NEWS_AGAIN.0;
-        self.open_news();
-        self.calls_moved = true;
+        self.relay_watch_outdated = self.relay_watch_connection.is_some();
+        self.relay_watch_retry_delay = MIN_RELAY_WATCH_RETRY_DELAY;
+        self.open_relay_watch();
+        self.call_connection_outdated = true;
     }
 }
 
-/// What is owed to a slice: by calls, or by the module's handover.
-fn owed<'a>(calls: &'a Calls, assigner: &'a Assigner) -> impl Fn(SliceId) -> Owed + 'a {
+/// The orders that are pending for a slice: in calls, or in a handover of the module.
+fn pending_orders<'a>(calls: &'a Calls, assigner: &'a Assigner) -> impl Fn(SliceId) -> Owed + 'a {
     |slice| match calls.owed(slice) {
         Owed::Nothing if assigner.moving(slice) => Owed::Handover,
         owed => owed,
--- a/crates/whinhill-node/src/reloading.rs
+++ b/crates/whinhill-node/src/reloading.rs
@@ -3,45 +3,47 @@
 use signal_hook::consts::SIGHUP;
 use tracing::{info, warn};
 
-use crate::deadlines::Due;
-use crate::limits::{CONFIG_AGAIN, CONFIG_WITHIN};
+use crate::deadlines::DeadlineKind;
+use crate::limits::{CONFIG_RETRY_DELAY, CONFIG_RETRY_DURATION};
 use crate::node::Node;
 use crate::NodeError;
 
 impl Node {
-    pub fn take_signals(&mut self) {
+    /// Handles the signals that have arrived.
+    pub fn handle_signals(&mut self) {
         let signals: Vec<i32> = self.signals.pending().collect();
         for signal in signals {
             if signal == SIGHUP {
-                self.read_config_until_had();
+                self.begin_config_reload();
             } else {
-                self.begin_end();
+                self.begin_shutdown();
             }
         }
     }
 
-    /// The configuration is to be read again, from now on until it could be read.
-    pub fn read_config_until_had(&mut self) {
-        if self.ending.is_some() {
+    /// Starts to read the configuration again, and retries for a limited time.
+    pub fn begin_config_reload(&mut self) {
+        if self.shutdown_started_at.is_some() {
             return;
         }
-        self.config_until = self.clock.now() + CONFIG_WITHIN;
-        self.config_fails = false;
-        self.read_config();
+        self.config_retry_until = self.clock.now() + CONFIG_RETRY_DURATION;
+        self.config_error_logged = false;
+        self.reload_config();
     }
 
-    /// A new configuration moves discovery and relay; a bad one leaves the old in force. Where the file cannot be
-    /// read at all that may pass, and no second signal tells of it.
-    pub fn read_config(&mut self) {
-        let new = match crate::read(&self.path) {
+    /// Applies the addresses of discovery and relay from a new configuration; an invalid one leaves the current one
+    /// in force. A file that cannot be read at all is tried again: the failure may pass, and no second signal
+    /// follows.
+    pub fn reload_config(&mut self) {
+        let new = match crate::read_config(&self.config_path) {
             Ok(new) => new,
             Err(error) => {
-                if !std::mem::replace(&mut self.config_fails, true) {
+                if !std::mem::replace(&mut self.config_error_logged, true) {
                     warn!("the configuration in force stays: {error}");
                 }
                 let now = self.clock.now();
-                if matches!(error, NodeError::Read { .. }) && now < self.config_until {
-                    self.deadlines.set(Due::Config, now + CONFIG_AGAIN);
+                if matches!(error, NodeError::Read { .. }) && now < self.config_retry_until {
+                    self.deadlines.set(DeadlineKind::RetryConfig, now + CONFIG_RETRY_DELAY);
                 }
                 return;
             }
@@ -49,11 +51,11 @@
         info!(discovery = %new.discovery, relay = %new.relay, "new configuration");
         if new.discovery != self.config.discovery {
             self.config.discovery = new.discovery;
-            self.move_watch();
+            self.switch_discovery_address();
         }
         if new.relay != self.config.relay {
             self.config.relay = new.relay;
-            self.move_relay();
+            self.switch_relay_address();
         }
     }
 }
--- /dev/null
+++ b/crates/whinhill-node/src/server_lists.rs
@@ -0,0 +1,57 @@
+//! Server lists on their way to the module, and servers that have left the list.
+
+use std::collections::BTreeSet;
+
+use tracing::debug;
+use whinhill::interface::{Entry, Event, ListKind, Listed};
+use whinhill_platform::roster::Roster;
+use whinhill_starts::Reading;
+
+use crate::limits::FORGET_SERVER_DELAY;
+use crate::node::{Node, TRACE};
+
+impl Node {
+    /// Passes a list to the module as an event.
+    pub fn push_list(&mut self, kind: ListKind, list: &Roster) {
+        let mut entries = Vec::with_capacity(list.servers.len());
+        if list.whole {
+            self.listed_servers.clear();
+        }
+        for server in &list.servers {
+            let ep = self.names.ep(&server.name);
+            if self.server_addrs.get(ep.index).copied().flatten() != Some(server.addr) {
+                debug!(target: TRACE, "server {} is {} at {}", ep.index, server.name, server.addr);
+            }
+            self.server_addrs.resize(self.server_addrs.len().max(ep.index + 1), None);
+            self.server_addrs[ep.index] = Some(server.addr);
+            match server.listed {
+                Listed::Gone => self.listed_servers.remove(&ep.index),
+                _ => self.listed_servers.insert(ep.index),
+            };
+            let reading = Reading { now: self.clock.now(), wall: self.clock.wall() };
+            let started = self.server_starts.started(reading, &server.name, server.started_ms);
+            let zone = self.names.zone(&server.zone);
+            entries.push(Entry { ep, zone, listed: server.listed, size: server.size, started });
+        }
+        self.pending_events.push(Event::List { kind, entries });
+    }
+
+    /// Forgets servers that have been unlisted for long and that nothing refers to. Where each server is replaced
+    /// under a new name, the former ones would otherwise accumulate.
+    pub fn forget_unlisted_servers(&mut self) {
+        let now = self.clock.now();
+        let unlisted: BTreeSet<usize> =
+            self.names.servers().filter(|i| !self.listed_servers.contains(i)).collect();
+        self.unlisted_since.retain(|index, _| unlisted.contains(index));
+        for index in unlisted {
+            let since = *self.unlisted_since.entry(index).or_insert(now);
+            if now >= since + FORGET_SERVER_DELAY && self.assigner.is_done_with(index) {
+                self.names.let_go(index);
+                self.probe_queue.forget(index);
+                self.unlisted_since.remove(&index);
+                self.server_addrs.get_mut(index).into_iter().for_each(|addr| *addr = None);
+                self.counters.servers_forgotten += 1;
+            }
+        }
+    }
+}
--- a/crates/whinhill-node/src/sockets.rs
+++ b/crates/whinhill-node/src/sockets.rs
@@ -1,27 +1,34 @@
-//! Connections of every kind: made, registered, read, written, timed and closed alike.
+//! What connections of all kinds have in common: connecting, registering, reading, writing, timeouts and closing.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::accepting::Look;
-use crate::clients::Refusal;
-use crate::connection::{Connection, Incoming, Kind, Outgoing, Stage};
+use crate::accepting::AcceptTrigger;
+use crate::clients::RefusalReason;
+use crate::connection::{ClientStage, Connection, ConnectionKind, ReadOutcome, WriteOutcome};
 use crate::connections::Id;
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::limits::*;
 use crate::node::Node;
 
 impl Node {
-    /// Connects; `None` where that fails at once.
-    pub fn connect(&mut self, addr: SocketAddr, kind: Kind, first: &[u8], within: Duration) -> Option<Id> {
+    /// Connects, and writes `initial_output` once the connection is established; `None` if connecting fails
+    /// immediately.
+    pub fn connect(
+        &mut self,
+        addr: SocketAddr,
+        kind: ConnectionKind,
+        initial_output: &[u8],
+        timeout: Duration,
+    ) -> Option<Id> {
         let now = self.clock.now();
-        let connected = Connection::connect(addr, kind, first, now);
+        let connected = Connection::connect(addr, kind, initial_output, now);
         let id = match connected {
             Ok(connection) => self.connections.insert(connection),
             Err(error) => {
-                self.counts.connects_failed += 1;
-                self.failures.log_to("connect", addr, &error);
+                self.counters.connect_failures += 1;
+                self.failure_log.log_on_address("connect", addr, &error);
                 return None;
             }
         };
@@ -29,265 +36,280 @@
             self.connections.remove(id);
             return None;
         }
-        self.deadlines.set(Due::Connection(id), now + within);
+        self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now + timeout);
         Some(id)
     }
 
+    /// Registers a connection with the poll; `false` if that fails.
     pub fn register(&mut self, id: Id) -> bool {
         let registry = self.poll.registry();
         let Some(connection) = self.connections.get_mut(id) else { return false };
         let Err(error) = connection.register(registry, id.token()) else { return true };
-        // Or it would count as registered the next time.
+        // Otherwise the next attempt would find it registered already.
         connection.deregister(registry);
-        self.counts.registers_failed += 1;
-        self.failures.log("register", &error);
+        self.counters.register_failures += 1;
+        self.failure_log.log("register", &error);
         false
     }
 
-    /// Closes a connection without a word to whoever it belonged to.
+    /// Closes a connection without notifying the code that uses it.
     pub fn close(&mut self, id: Id) -> Option<Connection> {
         let mut connection = self.connections.remove(id)?;
         connection.deregister(self.poll.registry());
-        self.deadlines.clear(Due::Connection(id));
-        self.deadlines.clear(Due::Register(id));
-        self.deadlines.clear(Due::Transfer(id));
+        self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
+        self.deadlines.clear(DeadlineKind::RetryRegister(id));
+        self.deadlines.clear(DeadlineKind::Recheck(id));
         match &connection.kind {
-            Kind::Closing { .. } => self.peers -= 1,
-            Kind::Client { peer, .. } => {
-                self.peers -= 1;
-                self.strangers -= usize::from(!peer.joined());
+            ConnectionKind::Closing { .. } => self.client_count -= 1,
+            ConnectionKind::Client { peer, .. } => {
+                self.client_count -= 1;
+                self.unjoined_count -= usize::from(!peer.joined());
             }
-            Kind::Probe { ep, .. } => self.probes.closed(ep.index),
+            ConnectionKind::Probe { ep, .. } => self.probe_queue.remove_connection(ep.index),
             _ => {}
         }
-        for at in [&mut self.calls_at, &mut self.news_at, &mut self.news_next_at, &mut self.watch_at] {
-            *at = at.filter(|at| *at != id);
+        for holder in [
+            &mut self.call_connection,
+            &mut self.relay_watch_connection,
+            &mut self.next_relay_watch_connection,
+            &mut self.discovery_watch_connection,
+        ] {
+            *holder = holder.filter(|held| *held != id);
         }
         Some(connection)
     }
 
-    pub fn writable(&mut self, id: Id) {
+    /// Writes remaining output.
+    pub fn handle_writable(&mut self, id: Id) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let flushed = connection.flush();
-        self.flushed(id, flushed);
+        let result = connection.flush();
+        self.handle_write_outcome(id, result);
     }
 
-    /// Follows an attempt to write: the poll tells of room only where the system truly had none.
-    pub fn flushed(&mut self, id: Id, flushed: io::Result<Outgoing>) {
-        self.count_answers(id);
+    /// Handles the result of a write. The poll reports a socket as writable only where the system truly had no
+    /// buffer space.
+    pub fn handle_write_outcome(&mut self, id: Id, result: io::Result<WriteOutcome>) {
+        self.record_written_answers(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
-        match flushed {
-            Ok(Outgoing::Written) if matches!(connection.kind, Kind::Closing { .. }) => {
-                connection.end_writing()
+        match result {
+            Ok(WriteOutcome::Complete) if matches!(connection.kind, ConnectionKind::Closing { .. }) => {
+                connection.shut_down_writes()
             }
-            Ok(Outgoing::Written | Outgoing::NotConnected) => {}
-            Ok(Outgoing::Blocked) => self.look_soon(id),
-            Ok(Outgoing::Short(error)) => self.fell_short(id, "write", &error),
-            Err(error) => self.broken(id, &error),
+            Ok(WriteOutcome::Complete | WriteOutcome::NotConnected) => {}
+            Ok(WriteOutcome::WouldBlock) => self.schedule_rechecks(id),
+            Ok(WriteOutcome::Shortage(error)) => self.handle_shortage(id, "write", &error),
+            Err(error) => self.handle_broken_connection(id, &error),
         }
     }
 
-    fn count_answers(&mut self, id: Id) {
+    /// Records how long the answers took that are now written completely.
+    fn record_written_answers(&mut self, id: Id) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let now = self.clock.now();
-        for received in connection.answers.take_left() {
-            self.counts.answer_left(now.saturating_sub(received));
+        for received_at in connection.pending_answers.take_answered() {
+            self.counters.record_answer(now.saturating_sub(received_at));
         }
     }
 
-    /// A transfer failed for want of something on this machine: it is tried again soon.
-    fn fell_short(&mut self, id: Id, call: &'static str, error: &io::Error) {
-        self.counts.transfers_short += 1;
+    /// A read or write failed for want of local resources; it is retried soon.
+    fn handle_shortage(&mut self, id: Id, call: &'static str, error: &io::Error) {
+        self.counters.transfer_shortages += 1;
         if let Some(connection) = self.connections.get(id) {
-            self.failures.log_on(id, connection, call, error);
+            self.failure_log.log_on_connection(id, connection, call, error);
         }
-        self.look_soon(id);
+        self.schedule_rechecks(id);
     }
 
-    /// A connection's transfer failed.
-    fn broken(&mut self, id: Id, error: &io::Error) {
+    /// A read or write on a connection failed.
+    fn handle_broken_connection(&mut self, id: Id, error: &io::Error) {
         let Some(connection) = self.connections.get(id) else { return };
-        let up = connection.was_up();
-        self.counts.transfers_failed += u64::from(up);
-        self.counts.connects_refused += u64::from(!up);
-        self.failures.log_on(id, connection, if up { "transfer" } else { "connect" }, error);
+        let established = connection.was_established();
+        self.counters.transfer_failures += u64::from(established);
+        self.counters.connects_refused += u64::from(!established);
+        let call = if established { "transfer" } else { "connect" };
+        self.failure_log.log_on_connection(id, connection, call, error);
         match &connection.kind {
             // Nobody is left to answer.
-            Kind::Client { .. } | Kind::Closing { .. } => {
-                self.counts.abandoned += connection.answers.owed() as u64;
+            ConnectionKind::Client { .. } | ConnectionKind::Closing { .. } => {
+                self.counters.requests_abandoned += connection.pending_answers.count() as u64;
                 self.close(id);
             }
-            _ => self.ended(id),
+            _ => self.handle_eof(id),
         }
     }
 
-    /// The poll told of something to read. If there is nothing the call may have said so too early, and if we had
-    /// not read it before we were told, calls do that at present.
-    pub fn readable_by_poll(&mut self, id: Id) {
-        let heard = self.readable(id);
+    /// The poll reported data. If nothing is found, the read may have wrongly returned `WouldBlock`; and unless the
+    /// data was read before the event, reads currently do so.
+    pub fn handle_readable_event(&mut self, id: Id) {
+        let received = self.read_available(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let before = std::mem::take(&mut connection.read_untold);
-        if heard {
+        let was_read_before = std::mem::take(&mut connection.read_before_event);
+        if received {
             return;
         }
-        if !before {
-            self.counts.reads_missed += 1;
-            self.look_closely_until = self.clock.now() + LOOK_CLOSELY_FOR;
+        if !was_read_before {
+            self.counters.reads_missed += 1;
+            self.recheck_reads_until = self.clock.now() + READ_RECHECK_DURATION;
         }
-        self.look_soon(id);
+        self.schedule_rechecks(id);
     }
 
-    /// Has a socket looked at soon, a few times, though the poll tells nothing.
-    fn look_soon(&mut self, id: Id) {
+    /// Schedules a few checks of a socket although the poll reports nothing.
+    fn schedule_rechecks(&mut self, id: Id) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.looks_left = LOOKS_SOON;
-        self.deadlines.set_by(Due::Transfer(id), self.clock.now() + TRANSFER_AGAIN);
+        connection.rechecks_left = RECHECKS;
+        self.deadlines.set_if_earlier(DeadlineKind::Recheck(id), self.clock.now() + RECHECK_DELAY);
     }
 
-    /// One of those looks. A call that keeps saying that it would block is believed after all of them; a shortage
-    /// is not, as long as it lasts.
-    pub fn look_again_at(&mut self, id: Id) {
+    /// One of the scheduled checks. A socket that keeps returning `WouldBlock` is believed after the last of them;
+    /// checks go on for as long as resources are lacking.
+    pub fn recheck(&mut self, id: Id) {
         let Some(connection) = self.connections.get(id) else { return };
-        let left = connection.looks_left.saturating_sub(1);
-        let short = self.counts.transfers_short;
-        let heard = (0..TRIES_A_LOOK).fold(false, |heard, _| self.look_at(id) || heard);
+        let left = connection.rechecks_left.saturating_sub(1);
+        let shortages = self.counters.transfer_shortages;
+        let received = (0..ATTEMPTS_PER_RECHECK).fold(false, |received, _| self.check_socket(id) || received);
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let in_vain = !heard && self.counts.transfers_short == short;
-        connection.looks_left = if in_vain { left } else { LOOKS_SOON };
-        if connection.looks_left > 0 {
-            self.deadlines.set(Due::Transfer(id), self.clock.now() + TRANSFER_AGAIN);
+        let found_nothing = !received && self.counters.transfer_shortages == shortages;
+        connection.rechecks_left = if found_nothing { left } else { RECHECKS };
+        if connection.rechecks_left > 0 {
+            self.deadlines.set(DeadlineKind::Recheck(id), self.clock.now() + RECHECK_DELAY);
         } else {
-            self.deadlines.clear(Due::Transfer(id));
+            self.deadlines.clear(DeadlineKind::Recheck(id));
         }
     }
 
-    /// Reads what has arrived; whether there was anything, the end included.
-    pub fn readable(&mut self, id: Id) -> bool {
+    /// Reads what has arrived; returns whether there was anything, the end included.
+    pub fn read_available(&mut self, id: Id) -> bool {
         let mut buffer = std::mem::take(&mut self.buffer);
         let mut reads = 0;
         while let Some(connection) = self.connections.get_mut(id) {
-            if reads == READS_MOST {
-                // Somebody who sends faster than we read must not keep the others waiting.
-                self.unread.push(id);
+            if reads == MAX_READS_PER_TURN {
+                // A peer that sends faster than this process reads must not delay the others.
+                self.unread_connections.push(id);
                 break;
             }
             match connection.read(&mut buffer) {
-                Ok(Incoming::Bytes(n)) => self.bytes(id, &buffer[..n]),
-                Ok(Incoming::End) => {
+                Ok(ReadOutcome::Bytes(n)) => self.handle_bytes(id, &buffer[..n]),
+                Ok(ReadOutcome::End) => {
                     reads += 1;
-                    self.ended(id);
+                    self.handle_eof(id);
                     break;
                 }
-                Ok(Incoming::Blocked) => break,
-                Ok(Incoming::Short(error)) => {
-                    self.fell_short(id, "read", &error);
+                Ok(ReadOutcome::WouldBlock) => break,
+                Ok(ReadOutcome::Shortage(error)) => {
+                    self.handle_shortage(id, "read", &error);
                     break;
                 }
                 Err(error) => {
                     reads += 1;
-                    self.broken(id, &error);
+                    self.handle_broken_connection(id, &error);
                     break;
                 }
             }
             reads += 1;
         }
         self.buffer = buffer;
-        self.follow_reads(id, reads > 0);
+        self.after_reads(id, reads > 0);
         reads > 0
     }
 
-    /// After reads: more may be there than the last call told, if half a message is, or calls have been wrong of
-    /// late. Then a client that is to end does so.
-    fn follow_reads(&mut self, id: Id, heard: bool) {
+    /// Called after reads. More data may be there than the last read returned, if a message is incomplete or reads
+    /// have recently missed data. Then closes a client that was sent its last answer.
+    fn after_reads(&mut self, id: Id, received: bool) {
         let Some(connection) = self.connections.get(id) else { return };
-        let closely = heard && self.clock.now() < self.look_closely_until;
-        if closely || connection.is_unfinished() && connection.looks_left == 0 && heard {
-            self.look_soon(id);
+        let recheck = received && self.clock.now() < self.recheck_reads_until;
+        if recheck || connection.has_partial_message() && connection.rechecks_left == 0 && received {
+            self.schedule_rechecks(id);
         }
-        self.end_after_answer(id);
+        self.close_after_last_answer(id);
     }
 
-    fn bytes(&mut self, id: Id, bytes: &[u8]) {
+    /// Passes bytes that were read to the code for the kind of connection.
+    fn handle_bytes(&mut self, id: Id, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         match &mut connection.kind {
-            Kind::Client { .. } => self.client_bytes(id, bytes),
-            Kind::Closing { .. } => self.discard(id, bytes.len()),
-            Kind::News => self.news_bytes(id, bytes),
-            Kind::Calls(_) => self.call_bytes(id, bytes),
-            Kind::Asking(_) => self.discovery_bytes(id, bytes),
-            Kind::Probe { .. } => self.probe_bytes(id, bytes),
+            ConnectionKind::Client { .. } => self.handle_client_bytes(id, bytes),
+            ConnectionKind::Closing { .. } => self.discard_from_closing(id, bytes.len()),
+            ConnectionKind::RelayWatch => self.handle_relay_watch_bytes(id, bytes),
+            ConnectionKind::RelayCalls(_) => self.handle_relay_answer(id, bytes),
+            ConnectionKind::Discovery(_) => self.handle_discovery_bytes(id, bytes),
+            ConnectionKind::Probe { .. } => self.handle_probe_bytes(id, bytes),
         }
     }
 
-    /// The other side closed or reset a connection, or it never came up.
-    fn ended(&mut self, id: Id) {
+    /// The peer closed or reset a connection, or it was never established.
+    fn handle_eof(&mut self, id: Id) {
         let Some(connection) = self.connections.get(id) else { return };
         match &connection.kind {
-            Kind::Client { .. } => self.client_ended(id),
-            // What is still to be written may be read; the deadline bounds it.
-            Kind::Closing { .. } if !connection.all_written() => {}
-            Kind::Closing { .. } => self.close_client(id),
-            Kind::News => self.news_ended(id, "broken"),
-            Kind::Calls(_) => self.call_lost("broken"),
-            Kind::Asking(_) => self.discovery_ended(id),
-            Kind::Probe { .. } => self.probe_ended(id),
+            ConnectionKind::Client { .. } => self.handle_client_eof(id),
+            // The remaining output may still be read by the client; the timeout limits the wait.
+            ConnectionKind::Closing { .. } if !connection.all_written() => {}
+            ConnectionKind::Closing { .. } => self.close_client(id),
+            ConnectionKind::RelayWatch => self.handle_relay_watch_end(id, "broken"),
+            ConnectionKind::RelayCalls(_) => self.handle_lost_call("broken"),
+            ConnectionKind::Discovery(_) => self.handle_discovery_eof(id),
+            ConnectionKind::Probe { .. } => self.handle_probe_eof(id),
         }
     }
 
-    /// Looks at every socket, and for signals, without having been told to by the poll.
-    pub fn look_at_all(&mut self) {
-        self.accept(Look::Untold);
-        self.take_signals();
+    /// Checks every socket, and for signals, without an event from the poll.
+    pub fn check_all_sockets(&mut self) {
+        self.accept_clients(AcceptTrigger::PeriodicCheck);
+        self.handle_signals();
         let all: Vec<Id> = self.connections.iter().map(|(id, _)| id).collect();
         for id in all {
-            self.look_at(id);
+            self.check_socket(id);
         }
-        self.deadlines.set(Due::Look, self.clock.now() + LOOK_EVERY);
+        self.deadlines.set(DeadlineKind::CheckAllSockets, self.clock.now() + SOCKET_CHECK_INTERVAL);
     }
 
-    /// Writes what is still to be written and reads what has arrived; whether there was anything to read.
-    pub fn look_at(&mut self, id: Id) -> bool {
+    /// Writes remaining output and reads what has arrived; returns whether there was anything to read.
+    pub fn check_socket(&mut self, id: Id) -> bool {
         if self.connections.get(id).is_some_and(|c| !c.all_written()) {
-            self.writable(id);
+            self.handle_writable(id);
         }
-        let heard = self.readable(id);
+        let received = self.read_available(id);
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.read_untold |= heard;
+            connection.read_before_event |= received;
         }
-        heard
+        received
     }
 
-    /// Looks at a connection whose time is over. True: whether anything has arrived is not known, since reads fail
-    /// for want of something, and the limit is to be put off; that is so for a bounded time.
-    pub fn look_before_limit(&mut self, id: Id) -> bool {
-        self.look_at(id);
+    /// Checks a connection whose time limit has passed. Returns `true` if reads fail for want of resources, so that
+    /// it is unknown whether anything has arrived, and the limit is to be postponed. That is so for a limited time.
+    pub fn check_before_timeout(&mut self, id: Id) -> bool {
+        self.check_socket(id);
         let Some(connection) = self.connections.get_mut(id) else { return false };
-        let unknown = connection.read_failed && connection.postponed < POSTPONED_MOST;
-        connection.postponed += u32::from(unknown);
+        let unknown =
+            connection.last_read_failed && connection.timeout_postponements < MAX_TIMEOUT_POSTPONEMENTS;
+        connection.timeout_postponements += u32::from(unknown);
         unknown
     }
 
-    /// A connection's time is over, unless what has arrived gives it more or ends what it waits for.
-    pub fn timed_out(&mut self, id: Id) {
+    /// A connection's time limit has passed, unless data that has arrived extends it or completes what it waits
+    /// for.
+    pub fn handle_timeout(&mut self, id: Id) {
         let now = self.clock.now();
-        self.deadlines.set(Due::Connection(id), now);
-        let unknown = self.look_before_limit(id);
-        if !self.deadlines.pop_at(Due::Connection(id), now) {
+        self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now);
+        let unknown = self.check_before_timeout(id);
+        if !self.deadlines.pop_if_at(DeadlineKind::ConnectionTimeout(id), now) {
             return;
         }
         if unknown {
-            return self.deadlines.set(Due::Connection(id), now + TRANSFER_AGAIN);
+            return self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now + RECHECK_DELAY);
         }
         let Some(connection) = self.connections.get(id) else { return };
         match &connection.kind {
-            Kind::Client { stage: Stage::Open, .. } => self.warn(id),
-            Kind::Client { stage: Stage::Leaving, .. } => self.refuse(id, Refusal::Silent),
-            Kind::Client { .. } => self.begin_close(id),
-            Kind::Closing { .. } => self.close_client(id),
-            Kind::News => self.news_ended(id, "never came up"),
-            Kind::Calls(_) => self.call_lost("silent"),
-            Kind::Asking(_) => self.discovery_failed(id, "silent"),
-            Kind::Probe { .. } => self.probe_timed_out(id),
+            ConnectionKind::Client { stage: ClientStage::Open, .. } => self.warn_silent_client(id),
+            ConnectionKind::Client { stage: ClientStage::CloseAfterAnswer, .. } => {
+                self.refuse(id, RefusalReason::Silent)
+            }
+            ConnectionKind::Client { .. } => self.begin_close(id),
+            ConnectionKind::Closing { .. } => self.close_client(id),
+            ConnectionKind::RelayWatch => self.handle_relay_watch_end(id, "never came up"),
+            ConnectionKind::RelayCalls(_) => self.handle_lost_call("silent"),
+            ConnectionKind::Discovery(_) => self.fail_discovery_request(id, "silent"),
+            ConnectionKind::Probe { .. } => self.handle_probe_timeout(id),
         }
     }
 }
