--- a/crates/whinhill-node/src/connections.rs
+++ b/crates/whinhill-node/src/connections.rs
@@ -10,7 +10,9 @@
 /// included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Id {
+    /// Index of the slot in the table.
     place: u32,
+    /// How many connections came before, modulo [`GENERATION_COUNT`].
     generation: u32,
 }
 
@@ -66,8 +68,8 @@
 
     /// All connections with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (Id, &Connection)> {
-        self.slots.iter().map(|(place, (generation, connection))| {
-            (Id { place: place as u32, generation: *generation }, connection)
+        self.slots.iter().map(|(slot, (generation, connection))| {
+            (Id { place: slot as u32, generation: *generation }, connection)
         })
     }
 
--- a/crates/whinhill-node/src/discovery.rs
+++ b/crates/whinhill-node/src/discovery.rs
@@ -25,7 +25,8 @@
     }
 
     fn is_discovery_watch_answered(&self, id: Id) -> bool {
-        matches!(self.connections.get(id).map(|c| &c.kind), Some(ConnectionKind::Discovery(asking)) if asking.answered())
+        let kind = self.connections.get(id).map(|connection| &connection.kind);
+        matches!(kind, Some(ConnectionKind::Discovery(asking)) if asking.answered())
     }
 
     /// Opens a watch. A connect that fails immediately has not reached discovery and says nothing about it. It is
--- a/crates/whinhill-node/src/limits.rs
+++ b/crates/whinhill-node/src/limits.rs
@@ -5,9 +5,10 @@
 /// Time within which a client must join or send a request; then it is refused. The platform permits that after 1 s
 /// and requires it after 3 s at the latest.
 pub const JOIN_TIMEOUT: Duration = Duration::from_millis(1100);
-/// A connection is established within two round trips of a few milliseconds; an unreachable machine never answers.
+/// Time limit of a connect. A connection is established within two round trips of a few milliseconds; an unreachable
+/// machine never answers.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The relay answers within 50 ms or never; the rest allows for a shared core.
+/// Time limit of a relay call. The relay answers within 50 ms or never; the rest allows for a shared core.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 /// Longest time for which a call with an unknown outcome waits for headroom before it is sent again. The time
 /// limits of the rules are delayed by as much where the relay breaks a call, and by more where it is silent.
@@ -22,18 +23,19 @@
 pub const MIN_RELAY_WATCH_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Longest delay before the relay watch is reopened.
 pub const MAX_RELAY_WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Discovery answers requests one after another, each within its own limit of a second.
+/// Time limit of a request to discovery, which answers requests one after another, each within its own limit of a
+/// second.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A discovery watch sends a sign of life every 2 s. Silence must be detected well within the 6 s that the rules
-/// allow.
+/// A discovery watch that has been silent for this long has failed. It sends a sign of life every 2 s, and silence
+/// must be detected well within the 6 s that the rules allow.
 pub const DISCOVERY_WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// A server that takes longer to answer a probe is not serving.
+/// Time limit of a probe: a server that takes longer to answer is not serving.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Reports arrive in pieces within milliseconds of each other; they are gathered for this long into one batch.
 pub const BATCH_GATHER_DELAY: Duration = Duration::from_millis(5);
 /// A batch of this many events is handed over without gathering more.
 pub const MAX_BATCH_EVENTS: usize = 8192;
-/// Reads of one connection in a turn, of 64 KiB each; then the other connections are read.
+/// Largest number of reads of one connection in a turn, of 64 KiB each; then the other connections are read.
 pub const MAX_READS_PER_TURN: usize = 8;
 /// The limit of concurrent probes is the number of allowed sockets divided by this, within the two bounds below. An
 /// unresponsive server occupies a probe until its deadline.
@@ -42,7 +44,7 @@
 pub const MIN_PROBE_LIMIT: usize = 16;
 /// Largest limit of concurrent probes.
 pub const MAX_PROBE_LIMIT: usize = 256;
-/// Connections of one zone's collector. The newest is the live one; the ends of others may not have been noticed.
+/// Largest number of connections of one zone's collector. The newest is the live one; the ends of others may not have been noticed.
 pub const MAX_COLLECTORS_PER_ZONE: usize = 3;
 /// Descriptors of the process itself: standard streams, poll, signals, listener, configuration file.
 pub const RESERVED_FOR_PROCESS: usize = 12;
@@ -50,7 +52,8 @@
 pub const RESERVED_FOR_OUTGOING: usize = 8;
 /// Descriptors that clients may not use; those of probes are added.
 pub const RESERVED_DESCRIPTORS: usize = RESERVED_FOR_PROCESS + RESERVED_FOR_OUTGOING;
-/// Failures of `accept` in one turn, at most. Most pass at once, and a client that waits longer soon misses its time limit.
+/// Largest number of failures of `accept` in one turn. Most failures pass at once, and a client that waits longer
+/// soon misses its time limit.
 pub const MAX_ACCEPT_FAILURES: u32 = 16;
 /// Delay before accepting continues: after failures, while all slots are taken, and where a client may still be
 /// waiting.
@@ -63,9 +66,9 @@
 /// Where the poll reported a client and none was found, the queue is checked this often, each time after
 /// [`ACCEPT_RETRY_DELAY`]: for 0.2 s, after which the periodic checks of all sockets go on.
 pub const ACCEPT_RETRIES: u32 = 40;
-/// An unjoined client that has been idle for less may be about to send a request, which closing would lose.
+/// An unjoined client that has been idle for less is not closed to free its slot: it may be about to send a request, which closing would lose.
 pub const MIN_EVICTION_IDLE: Duration = Duration::from_millis(100);
-/// Unjoined clients that may be marked at a time to be closed after their next answers.
+/// Largest number of unjoined clients that are marked at a time to be closed after their next answers.
 pub const MAX_CLOSING_FOR_SLOTS: usize = 16;
 /// The poll reports each arrival once; at this interval every socket is checked all the same. A shorter one costs
 /// system calls; a longer one delays data that is missed when a call wrongly returns `WouldBlock`.
--- a/crates/whinhill-node/src/probes.rs
+++ b/crates/whinhill-node/src/probes.rs
@@ -34,7 +34,7 @@
             self.counters.probes += 1;
             let deadline = self.clock.now() + PROBE_TIMEOUT;
             if !self.open_probe(ep, addr, Probing::default(), deadline) {
-                // The others would most likely fail now as well.
+                // Other probes would most likely fail now as well.
                 break;
             }
         }
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -92,12 +92,12 @@
 
     /// Nothing arrived on a relay watch before its timeout.
     pub fn handle_relay_watch_timeout(&mut self, place: Place) {
-        let at = match place {
+        let connection = match place {
             Place::Current => self.relay_watch_connection,
             Place::Next => self.next_relay_watch_connection,
         };
         // Data that has arrived counts before the timeout does.
-        if at.is_some_and(|id| self.check_before_timeout(id)) {
+        if connection.is_some_and(|id| self.check_before_timeout(id)) {
             return self.deadlines.set(DeadlineKind::RelayWatch(place), self.clock.now() + RECHECK_DELAY);
         }
         let (now, mut updates) = (self.clock.now(), Vec::new());
@@ -198,7 +198,7 @@
 
     // Calls.
 
-    /// Starts a call if one is due and the relay watch has told which slices are ours.
+    /// Starts a call if one is due and the relay watch has reported which slices are in this assigner's custody.
     pub fn start_relay_call(&mut self) {
         let now = self.clock.now();
         let Some(at) = self.relay_calls.due_at() else { return };
