--- a/crates/whinhill-transport/src/call.rs
+++ b/crates/whinhill-transport/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls as ordinary threads use them: each wait blocks and has an end.
+//! The calls of a client and a server as ordinary threads use them. Every wait blocks and has a time limit.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,92 +17,98 @@
 use tracing::{debug, warn};
 use whinhill_errors::{is_local, is_of_one_connection, is_scarce, until_had};
 
-use crate::connection::{micros_now, Admitted, Counted, Ending, Handler, Line};
+use crate::blocking::{block_on, poll_until};
+use crate::connection::{micros_now, CountGuard, Handler, ListenerShutdown, ListenerSlot, SharedState};
 use crate::error::{CallError, Code, NeverRan};
 use crate::limits::Limits;
-use crate::park::{wait, wait_for};
-use crate::turning::Turn;
+use crate::polling::Turn;
 use crate::Drivers;
 
-/// The header map that ends a call.
+/// The headers that end a call.
 pub type Trailers = HeaderMap;
 
-pub(crate) const PREFIX: usize = 5;
-/// How often a draining listener looks whether its connections have ended.
-const DRAIN_LOOKS: Duration = Duration::from_millis(10);
-/// How long a system short of descriptors or memory may keep a listener from its start or its end.
-const LISTEN_WITHIN: Duration = Duration::from_secs(5);
-/// Between two accepts while the first fails for what passes by itself.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
-/// How long a connect that reaches nobody is made again: a small part of any deadline, since whoever waits for it may
-/// have somebody else to ask.
-const CONNECT_AGAIN_WITHIN: Duration = Duration::from_millis(100);
-
-/// Reads messages of one direction of a call.
+/// Length of the prefix of a gRPC message: a compression flag and four bytes of size.
+pub(crate) const PREFIX_LEN: usize = 5;
+/// How often a draining listener checks whether its connections have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// For how long starting or stopping a listener is retried while the system is short of descriptors or memory.
+const LISTEN_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after an accept that failed for a reason that passes by itself.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// For how long a connect is retried that failed for local reasons. A small part of any deadline, since the
+/// caller may have another server to try.
+const CONNECT_RETRY_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Reads the messages of one direction of a call.
 pub struct MessageReader {
     body: RecvStream,
-    held: BytesMut,
-    most: usize,
+    buffer: BytesMut,
+    max_message: usize,
 }
 
 impl MessageReader {
-    /// The next message; `None` at the end of the direction.
-    pub fn recv(&mut self, within: Duration) -> Result<Option<Bytes>, CallError> {
-        let until = Instant::now() + within;
+    /// Waits for the next message; `None` at the end of the direction.
+    pub fn recv(&mut self, timeout: Duration) -> Result<Option<Bytes>, CallError> {
+        let deadline = Instant::now() + timeout;
         loop {
-            if let Some(message) = self.framed()? {
+            if let Some(message) = self.next_buffered()? {
                 return Ok(Some(message));
             }
-            let chunk = wait(until, |cx| self.body.poll_data(cx)).ok_or(CallError::Deadline(within))?;
+            let chunk =
+                poll_until(deadline, |cx| self.body.poll_data(cx)).ok_or(CallError::Deadline(timeout))?;
             match chunk {
-                None if self.held.is_empty() => return Ok(None),
+                None if self.buffer.is_empty() => return Ok(None),
                 None => return Err(CallError::Malformed("the stream ends within a message")),
-                Some(Err(error)) => return Err(CallError::of(error, true)),
+                Some(Err(error)) => return Err(CallError::from_h2(error, true)),
                 Some(Ok(chunk)) => {
-                    self.held.extend_from_slice(&chunk);
-                    // What is held is bounded by the message's limit, so the window may open again at once.
+                    self.buffer.extend_from_slice(&chunk);
+                    // The buffer is bounded by the limit on a message, so the window may be reopened at once.
                     let released = self.body.flow_control().release_capacity(chunk.len());
-                    released.map_err(|error| CallError::of(error, true))?;
+                    released.map_err(|error| CallError::from_h2(error, true))?;
                 }
             }
         }
     }
 
-    fn framed(&mut self) -> Result<Option<Bytes>, CallError> {
-        if self.held.len() < PREFIX {
+    /// The next message, if it is in the buffer as a whole.
+    fn next_buffered(&mut self) -> Result<Option<Bytes>, CallError> {
+        if self.buffer.len() < PREFIX_LEN {
             return Ok(None);
         }
-        if self.held[0] != 0 {
+        if self.buffer[0] != 0 {
             return Err(CallError::Malformed("a compressed message, though no encoding was agreed"));
         }
-        let size = u32::from_be_bytes([self.held[1], self.held[2], self.held[3], self.held[4]]) as usize;
-        if size > self.most {
-            return Err(CallError::TooLarge { size, most: self.most });
+        let size =
+            u32::from_be_bytes([self.buffer[1], self.buffer[2], self.buffer[3], self.buffer[4]]) as usize;
+        if size > self.max_message {
+            return Err(CallError::TooLarge { size, most: self.max_message });
         }
-        if self.held.len() < PREFIX + size {
+        if self.buffer.len() < PREFIX_LEN + size {
             return Ok(None);
         }
-        self.held.advance(PREFIX);
-        Ok(Some(self.held.split_to(size).freeze()))
+        self.buffer.advance(PREFIX_LEN);
+        Ok(Some(self.buffer.split_to(size).freeze()))
     }
 
-    /// What ends the call, after the last message.
-    pub fn trailers(&mut self, within: Duration) -> Result<Trailers, CallError> {
-        let until = Instant::now() + within;
-        while self.recv(until.saturating_duration_since(Instant::now()))?.is_some() {}
-        let trailers = wait(until, |cx| self.body.poll_trailers(cx)).ok_or(CallError::Deadline(within))?;
-        Ok(trailers.map_err(|error| CallError::of(error, true))?.unwrap_or_default())
+    /// The trailers that end the call; reads and drops any messages that are left.
+    pub fn trailers(&mut self, timeout: Duration) -> Result<Trailers, CallError> {
+        let deadline = Instant::now() + timeout;
+        while self.recv(deadline.saturating_duration_since(Instant::now()))?.is_some() {}
+        let trailers =
+            poll_until(deadline, |cx| self.body.poll_trailers(cx)).ok_or(CallError::Deadline(timeout))?;
+        Ok(trailers.map_err(|error| CallError::from_h2(error, true))?.unwrap_or_default())
     }
 }
 
-/// Writes messages of one direction of a call, waiting for the peer's window.
+/// Writes the messages of one direction of a call, waiting for the peer's flow-control window.
 pub struct MessageWriter {
     stream: SendStream<Bytes>,
-    _counted: Counted,
+    _count_guard: CountGuard,
 }
 
-fn framed(message: &[u8]) -> Bytes {
-    let mut frame = BytesMut::with_capacity(PREFIX + message.len());
+/// A message with its prefix.
+fn frame_message(message: &[u8]) -> Bytes {
+    let mut frame = BytesMut::with_capacity(PREFIX_LEN + message.len());
     frame.put_u8(0);
     frame.put_u32(message.len() as u32);
     frame.put_slice(message);
@@ -110,46 +116,48 @@
 }
 
 impl MessageWriter {
-    /// Sends one message as far as the peer's window opens in time. A failure in mid-message leaves the call
-    /// unusable: the caller must end it.
-    pub fn send(&mut self, message: &[u8], within: Duration) -> Result<(), CallError> {
-        let until = Instant::now() + within;
-        let mut left = framed(message);
-        while !left.is_empty() {
-            self.stream.reserve_capacity(left.len());
+    /// Sends one message, waiting for the peer's window. After a failure in the middle of a message the call is
+    /// unusable and the caller must end it.
+    pub fn send(&mut self, message: &[u8], timeout: Duration) -> Result<(), CallError> {
+        let deadline = Instant::now() + timeout;
+        let mut remaining = frame_message(message);
+        while !remaining.is_empty() {
+            self.stream.reserve_capacity(remaining.len());
             if self.stream.capacity() == 0 {
-                let room =
-                    wait(until, |cx| self.stream.poll_capacity(cx)).ok_or(CallError::Deadline(within))?;
-                match room {
+                let capacity = poll_until(deadline, |cx| self.stream.poll_capacity(cx))
+                    .ok_or(CallError::Deadline(timeout))?;
+                match capacity {
                     Some(Ok(_)) => {}
-                    Some(Err(error)) => return Err(CallError::of(error, true)),
+                    Some(Err(error)) => return Err(CallError::from_h2(error, true)),
                     None => return Err(CallError::Reset("the stream is closed".into())),
                 }
             }
-            let part = self.stream.capacity().min(left.len());
-            let chunk = left.split_to(part);
-            self.stream.send_data(chunk, false).map_err(|error| CallError::of(error, true))?;
+            let part = self.stream.capacity().min(remaining.len());
+            let chunk = remaining.split_to(part);
+            self.stream.send_data(chunk, false).map_err(|error| CallError::from_h2(error, true))?;
         }
         Ok(())
     }
 
-    /// Ends the client's direction.
+    /// Ends the client's direction of the call.
     pub fn finish(&mut self) -> Result<(), CallError> {
-        self.stream.send_data(Bytes::new(), true).map_err(|error| CallError::of(error, true))
+        self.stream.send_data(Bytes::new(), true).map_err(|error| CallError::from_h2(error, true))
     }
 
-    /// Ends a server's direction, and with it the call.
+    /// Ends the server's direction, and with it the call.
     pub fn close(&mut self, code: Code, message: &str, extra: Trailers) -> Result<(), CallError> {
-        let trailers = status(code, message, extra);
-        self.stream.send_trailers(trailers).map_err(|error| CallError::of(error, true))
+        let trailers = status_headers(code, message, extra);
+        self.stream.send_trailers(trailers).map_err(|error| CallError::from_h2(error, true))
     }
 
+    /// Resets the stream, which ends the call at both ends.
     pub fn reset(&mut self, reason: Reason) {
         self.stream.send_reset(reason);
     }
 }
 
-pub(crate) fn status(code: Code, message: &str, mut extra: Trailers) -> HeaderMap {
+/// Headers that hold a status and a message (made plain printable ASCII).
+pub(crate) fn status_headers(code: Code, message: &str, mut extra: Trailers) -> HeaderMap {
     extra.insert(HeaderName::from_static("grpc-status"), HeaderValue::from(code.number()));
     if !message.is_empty() {
         let plain: String =
@@ -161,15 +169,18 @@
     extra
 }
 
-/// A call that came in.
+/// An incoming call.
 pub struct ServerCall {
+    /// The head of the request.
     pub head: http::request::Parts,
+    /// Address of the client.
     pub peer: SocketAddr,
+    /// When the head of the request arrived.
     pub came: Instant,
     pub(crate) body: RecvStream,
     pub(crate) respond: SendResponse<Bytes>,
-    most: usize,
-    counted: Counted,
+    max_message: usize,
+    count_guard: CountGuard,
 }
 
 impl ServerCall {
@@ -177,96 +188,100 @@
         request: Request<RecvStream>,
         respond: SendResponse<Bytes>,
         peer: SocketAddr,
-        most: usize,
-        counted: Counted,
+        max_message: usize,
+        count_guard: CountGuard,
     ) -> Self {
         let (head, body) = request.into_parts();
-        ServerCall { head, peer, came: Instant::now(), body, respond, most, counted }
+        ServerCall { head, peer, came: Instant::now(), body, respond, max_message, count_guard }
     }
 
+    /// The path of the method, `/package.Service/Method`.
     pub fn path(&self) -> &str {
         self.head.uri.path()
     }
 
+    /// The value of a request header, if it is there and printable ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// Answers with a status alone, without waiting for anything.
+    /// Answers with a status only. Does not block.
     pub fn refuse(self, code: Code, message: &str, extra: Trailers) {
         let _turn = Turn::begin();
-        // Within the turn: what a call drops wakes its connection too.
+        // Moved into the scope of the `Turn`: dropping the call wakes its connection too.
         let mut call = self;
-        call.answer_alone(StatusCode::OK, status(code, message, extra));
+        call.answer_alone(StatusCode::OK, status_headers(code, message, extra));
     }
 
-    /// Resets the stream with REFUSED_STREAM: proof for the client that nothing ran.
+    /// Resets the stream with REFUSED_STREAM, which proves to the client that nothing ran.
     pub fn refuse_unseen(mut self) {
         self.respond.send_reset(Reason::REFUSED_STREAM);
     }
 
-    /// Opens the answer: messages may go both ways from now on.
+    /// Sends the head of the answer; from now on messages may go both ways.
     pub fn open(self) -> Result<(MessageReader, MessageWriter), CallError> {
-        let ServerCall { mut respond, body, most, counted, .. } = self;
+        let ServerCall { mut respond, body, max_message, count_guard, .. } = self;
         let mut response = Response::new(());
         response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
-        let stream = respond.send_response(response, false).map_err(|error| CallError::of(error, true))?;
-        let reader = MessageReader { body, held: BytesMut::new(), most };
-        Ok((reader, MessageWriter { stream, _counted: counted }))
+        let stream =
+            respond.send_response(response, false).map_err(|error| CallError::from_h2(error, true))?;
+        let reader = MessageReader { body, buffer: BytesMut::new(), max_message };
+        Ok((reader, MessageWriter { stream, _count_guard: count_guard }))
     }
 
-    /// Reads the one message of a unary call. The answer can still be refused after it.
-    pub fn message(&mut self, within: Duration) -> Result<Bytes, CallError> {
-        // The reader is put together for the wait alone: the body stays with the call.
-        let until = Instant::now() + within;
-        let mut held = BytesMut::new();
+    /// Reads the only message of a unary call. The call can still be refused afterwards.
+    pub fn message(&mut self, timeout: Duration) -> Result<Bytes, CallError> {
+        // Reads the body directly instead of through a `MessageReader`: the body stays with the call.
+        let deadline = Instant::now() + timeout;
+        let mut buffer = BytesMut::new();
         loop {
-            let Some(chunk) = wait(until, |cx| self.body.poll_data(cx)) else {
-                return Err(CallError::Deadline(within));
+            let Some(chunk) = poll_until(deadline, |cx| self.body.poll_data(cx)) else {
+                return Err(CallError::Deadline(timeout));
             };
             let Some(chunk) = chunk else { break };
-            let chunk = chunk.map_err(|error| CallError::of(error, true))?;
-            if held.len() + chunk.len() > PREFIX + self.most {
-                return Err(CallError::TooLarge { size: held.len() + chunk.len(), most: self.most });
+            let chunk = chunk.map_err(|error| CallError::from_h2(error, true))?;
+            if buffer.len() + chunk.len() > PREFIX_LEN + self.max_message {
+                return Err(CallError::TooLarge { size: buffer.len() + chunk.len(), most: self.max_message });
             }
-            held.extend_from_slice(&chunk);
+            buffer.extend_from_slice(&chunk);
             let released = self.body.flow_control().release_capacity(chunk.len());
-            released.map_err(|error| CallError::of(error, true))?;
+            released.map_err(|error| CallError::from_h2(error, true))?;
         }
-        if held.len() < PREFIX || held[0] != 0 {
+        if buffer.len() < PREFIX_LEN || buffer[0] != 0 {
             return Err(CallError::Malformed("not one uncompressed gRPC message"));
         }
-        let size = u32::from_be_bytes([held[1], held[2], held[3], held[4]]) as usize;
-        if held.len() != PREFIX + size {
+        let size = u32::from_be_bytes([buffer[1], buffer[2], buffer[3], buffer[4]]) as usize;
+        if buffer.len() != PREFIX_LEN + size {
             return Err(CallError::Malformed("the length of the message is not what its prefix says"));
         }
-        Ok(held.split_off(PREFIX).freeze())
+        Ok(buffer.split_off(PREFIX_LEN).freeze())
     }
 
-    /// Answers a unary call whole.
-    pub fn answer(self, message: &[u8], extra: Trailers, within: Duration) -> Result<(), CallError> {
+    /// Answers a unary call: the message, status OK and `extra` trailers.
+    pub fn answer(self, message: &[u8], extra: Trailers, timeout: Duration) -> Result<(), CallError> {
         let _turn = Turn::begin();
         let (_, mut writer) = self.open()?;
-        writer.send(message, within)?;
+        writer.send(message, timeout)?;
         writer.close(Code::Ok, "", extra)
     }
 
-    /// Whether the client has cancelled it or gone away.
+    /// Whether the client has cancelled the call or disconnected.
     pub fn cancelled(&mut self) -> bool {
-        wait(Instant::now(), |cx| self.respond.poll_reset(cx)).is_some()
+        poll_until(Instant::now(), |cx| self.respond.poll_reset(cx)).is_some()
     }
 }
 
-/// Takes connections in. Dropping it stops that; connections that stand go on until their drivers end.
+/// Accepts connections. Dropping it stops that; existing connections remain until their drivers end.
 pub struct Listener {
     addr: SocketAddr,
-    ending: Arc<Ending>,
+    shutdown: Arc<ListenerShutdown>,
     count: Arc<AtomicUsize>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Listener {
-    /// Listens on `addr`; port 0 lets the system choose one. `handler` runs on a driver thread and must not block.
+    /// Listens on `addr`; with port 0 the system chooses the port. `handler` runs on the thread that polls a
+    /// connection and must not block.
     pub fn start(
         name: &str,
         addr: SocketAddr,
@@ -274,73 +289,75 @@
         drivers: &Drivers,
         handler: impl Fn(ServerCall) + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        let socket = until_had(LISTEN_WITHIN, is_scarce, || TcpListener::bind(addr))?;
+        let socket = until_had(LISTEN_RETRY_TIMEOUT, is_scarce, || TcpListener::bind(addr))?;
         let addr = socket.local_addr()?;
-        let (ending, count): (Arc<Ending>, _) = (Arc::default(), Arc::new(AtomicUsize::new(0)));
-        let (ends, counter, drivers) = (ending.clone(), count.clone(), drivers.clone());
+        let (shutdown, count): (Arc<ListenerShutdown>, _) = (Arc::default(), Arc::new(AtomicUsize::new(0)));
+        let (accept_shutdown, counter, drivers) = (shutdown.clone(), count.clone(), drivers.clone());
         let handler: Handler = Arc::new(handler);
         let builder = thread::Builder::new().name(format!("{name}-accept")).stack_size(64 << 10);
         let thread = builder.spawn(move || {
-            // A refused crowd is one line a second, not one each.
-            let (mut refused, mut told) = (0u64, Instant::now() - Duration::from_secs(1));
+            // Refused connections are logged once a second, not each.
+            let (mut refused, mut last_logged) = (0u64, Instant::now() - Duration::from_secs(1));
             loop {
                 let accepted = socket.accept();
-                if ends.stop.load(Ordering::Relaxed) {
+                if accept_shutdown.stop.load(Ordering::Relaxed) {
                     break;
                 }
-                let taken = accepted.and_then(|(stream, peer)| {
-                    let counted = Counted::take(&counter, limits.connections_most).ok_or_else(|| {
-                        io::Error::other(format!("over {} connections", limits.connections_most))
-                    })?;
-                    let admitted = Admitted::new(counted, ends.clone());
-                    drivers.accepted(stream, peer, limits.clone(), handler.clone(), admitted)
+                let result = accepted.and_then(|(stream, peer)| {
+                    let count_guard =
+                        CountGuard::try_new(&counter, limits.connections_most).ok_or_else(|| {
+                            io::Error::other(format!("over {} connections", limits.connections_most))
+                        })?;
+                    let slot = ListenerSlot::new(count_guard, accept_shutdown.clone());
+                    drivers.add_accepted(stream, peer, limits.clone(), handler.clone(), slot)
                 });
-                let Err(error) = taken else { continue };
+                let Err(error) = result else { continue };
                 refused += 1;
-                if told.elapsed() >= Duration::from_secs(1) {
+                if last_logged.elapsed() >= Duration::from_secs(1) {
                     warn!(%addr, %error, refused, "connection refused");
-                    (refused, told) = (0, Instant::now());
+                    (refused, last_logged) = (0, Instant::now());
                 }
-                // A process out of file descriptors fails at once, again and again: it must neither spin here nor
-                // stop listening for good. What concerns one connection holds up no other.
+                // An accept in a process out of file descriptors fails at once, again and again: pause instead
+                // of spinning, but keep listening. An error of a single connection does not delay the others.
                 if error.raw_os_error().is_some() && !is_of_one_connection(&error) {
-                    thread::park_timeout(ACCEPT_AGAIN);
+                    thread::park_timeout(ACCEPT_RETRY_DELAY);
                 }
             }
             debug!(%addr, "listener ended");
         })?;
-        Ok(Listener { addr, ending, count, thread: Some(thread) })
+        Ok(Listener { addr, shutdown, count, thread: Some(thread) })
     }
 
+    /// The address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Connections that stand.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 }
 
 impl Listener {
-    /// Takes no more connections in, and ends those that stand in good order (GOAWAY, RFC 9113, 6.8): calls in hand
-    /// may finish, later ones learn that they never ran. Waits until all have ended, or the time is up; how many
-    /// are left then.
-    pub fn drain(mut self, within: Duration) -> usize {
-        let until = Instant::now() + within;
+    /// Accepts no more connections and shuts the existing ones down gracefully (GOAWAY, RFC 9113, 6.8): calls in
+    /// flight may finish, and the clients of later ones learn that they never ran. Waits until all connections
+    /// have ended or the time is up, and returns how many are left.
+    pub fn drain(mut self, timeout: Duration) -> usize {
+        let deadline = Instant::now() + timeout;
         self.stop_accepting();
-        self.ending.draining.store(true, Ordering::Relaxed);
-        while self.connections() > 0 && Instant::now() < until {
-            thread::park_timeout(DRAIN_LOOKS);
+        self.shutdown.draining.store(true, Ordering::Relaxed);
+        while self.connections() > 0 && Instant::now() < deadline {
+            thread::park_timeout(DRAIN_POLL_INTERVAL);
         }
         self.connections()
     }
 
     fn stop_accepting(&mut self) {
-        self.ending.stop.store(true, Ordering::Relaxed);
-        // Wakes the accept; it sees the flag.
+        self.shutdown.stop.store(true, Ordering::Relaxed);
+        // Unblocks the accept, which then sees the flag.
         let wake = || TcpStream::connect_timeout(&self.addr, Duration::from_secs(1));
-        let woken = until_had(LISTEN_WITHIN, is_local, wake).is_ok();
+        let woken = until_had(LISTEN_RETRY_TIMEOUT, is_local, wake).is_ok();
         if let Some(thread) = self.thread.take().filter(|_| woken) {
             let _ = thread.join();
         }
@@ -355,51 +372,54 @@
     }
 }
 
-/// One connection to a server, for many calls at a time.
+/// One connection to a server, which carries many calls at a time.
 #[derive(Clone)]
 pub struct Client {
     request: Arc<Mutex<SendRequest<Bytes>>>,
-    line: Line,
+    shared_state: SharedState,
     dead: Arc<AtomicBool>,
     addr: SocketAddr,
     authority: Authority,
-    most: usize,
+    max_message: usize,
 }
 
-/// A call whose answer is still to come.
+/// A call whose answer has not begun yet.
 pub struct PendingAnswer {
     future: ResponseFuture,
-    most: usize,
+    max_message: usize,
     dead: Arc<AtomicBool>,
 }
 
-/// The answer's head is there: messages, then trailers.
+/// A call whose answer has begun: its head, and the reader of its messages and trailers.
 pub struct Opened {
+    /// The head of the answer.
     pub head: http::response::Parts,
+    /// Reader of the answer's messages and trailers.
     pub reader: MessageReader,
 }
 
 impl PendingAnswer {
-    pub fn head(self, within: Duration) -> Result<Opened, CallError> {
-        let until = Instant::now() + within;
-        let PendingAnswer { future, most, dead } = self;
-        let answer = wait_for(until, future).ok_or(CallError::Deadline(within))?;
+    /// Waits for the head of the answer. Fails if it holds an error status.
+    pub fn head(self, timeout: Duration) -> Result<Opened, CallError> {
+        let deadline = Instant::now() + timeout;
+        let PendingAnswer { future, max_message, dead } = self;
+        let answer = block_on(deadline, future).ok_or(CallError::Deadline(timeout))?;
         let answer = answer.map_err(|error| {
             if error.is_io() || error.is_go_away() {
                 dead.store(true, Ordering::Relaxed);
             }
-            CallError::of(error, true)
+            CallError::from_h2(error, true)
         })?;
         let (head, body) = answer.into_parts();
         if head.status != StatusCode::OK {
             return Err(CallError::Malformed("the HTTP status is not 200"));
         }
-        check(&head.headers)?;
-        Ok(Opened { head, reader: MessageReader { body, held: BytesMut::new(), most } })
+        check_status(&head.headers)?;
+        Ok(Opened { head, reader: MessageReader { body, buffer: BytesMut::new(), max_message } })
     }
 }
 
-/// The status that headers or trailers hold, if they hold one.
+/// Parses the status in headers or trailers; `None` if they have none.
 pub(crate) fn read_status(headers: &HeaderMap) -> Result<Option<Code>, CallError> {
     let Some(value) = headers.get("grpc-status") else { return Ok(None) };
     let number = value.to_str().ok().and_then(|text| text.parse().ok());
@@ -408,7 +428,8 @@
         .ok_or(CallError::Malformed("grpc-status is no number"))
 }
 
-fn check(headers: &HeaderMap) -> Result<(), CallError> {
+/// Fails if headers or trailers hold an error status.
+fn check_status(headers: &HeaderMap) -> Result<(), CallError> {
     match read_status(headers)? {
         None | Some(Code::Ok) => Ok(()),
         Some(code) => {
@@ -418,7 +439,8 @@
     }
 }
 
-/// A span in the form of the header `grpc-timeout`, in microseconds or, where those take over eight digits, milliseconds.
+/// Formats a duration for the header `grpc-timeout`: in microseconds, or in milliseconds where microseconds
+/// would need more than eight digits.
 pub fn grpc_timeout(span: Duration) -> String {
     match span.as_micros() {
         micros @ 0..=99_999_999 => format!("{micros}u"),
@@ -427,27 +449,31 @@
 }
 
 impl Client {
+    /// Connects to `addr` and waits for the HTTP/2 handshake, each for at most `limits.handshake`.
     pub fn connect(addr: SocketAddr, limits: Limits, drivers: &Drivers) -> Result<Self, CallError> {
         let dial = || TcpStream::connect_timeout(&addr, limits.handshake);
-        let socket = until_had(CONNECT_AGAIN_WITHIN, is_local, dial).map_err(|error| {
+        let socket = until_had(CONNECT_RETRY_TIMEOUT, is_local, dial).map_err(|error| {
             CallError::NeverRan(if is_local(&error) { NeverRan::NotTried } else { NeverRan::NoConnection })
         })?;
-        let (answer, opened) = bounded(1);
-        let line = Line::new(Arc::default());
-        let (most, within) = (limits.message_most, limits.handshake);
-        let queued = drivers.opened(socket, addr, limits, line.clone(), answer);
+        let (result_sender, result_receiver) = bounded(1);
+        let shared_state = SharedState::new(Arc::default());
+        let (max_message, timeout) = (limits.message_most, limits.handshake);
+        let queued = drivers.add_opened(socket, addr, limits, shared_state.clone(), result_sender);
         queued.map_err(|_| CallError::NeverRan(NeverRan::NotTried))?;
-        let request = match opened.recv_timeout(within) {
+        let request = match result_receiver.recv_timeout(timeout) {
             Ok(Ok(request)) => request,
-            // No driver could take the socket on: nothing was said to the peer.
-            Err(_) if !line.is_taken_on() => return Err(CallError::NeverRan(NeverRan::NotTried)),
+            // No driver could register the socket: nothing was sent to the peer.
+            Err(_) if !shared_state.is_owned_by_driver() => {
+                return Err(CallError::NeverRan(NeverRan::NotTried))
+            }
             Ok(Err(_)) | Err(_) => return Err(CallError::NeverRan(NeverRan::NoConnection)),
         };
         let authority = addr.to_string().parse().map_err(|_| CallError::NeverRan(NeverRan::NoConnection))?;
         let request = Arc::new(Mutex::new(request));
-        Ok(Client { request, line, dead: Arc::default(), addr, authority, most })
+        Ok(Client { request, shared_state, dead: Arc::default(), addr, authority, max_message })
     }
 
+    /// The server's address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -457,30 +483,30 @@
         !self.dead.load(Ordering::Relaxed)
     }
 
-    /// Calls under way.
+    /// Number of calls in flight.
     pub fn streams(&self) -> usize {
-        self.line.streams.load(Ordering::Relaxed)
+        self.shared_state.streams.load(Ordering::Relaxed)
     }
 
-    /// How long nothing has arrived on the connection, of any call.
+    /// How long nothing has arrived on the connection, for any of its calls.
     pub fn silent_for(&self) -> Duration {
-        let last = self.line.read_at.load(Ordering::Relaxed);
+        let last = self.shared_state.last_read_at.load(Ordering::Relaxed);
         Duration::from_micros(micros_now().saturating_sub(last))
     }
 
-    /// Breaks the connection off, so that nothing of it that is still under way can arrive later. Every call on it
-    /// ends without an answer.
+    /// Aborts the connection, so that no data still in transit on it can arrive later. Every call on it ends
+    /// without an answer.
     pub fn sever(&self) {
-        self.line.severed.store(true, Ordering::Relaxed);
+        self.shared_state.aborted.store(true, Ordering::Relaxed);
         self.dead.store(true, Ordering::Relaxed);
     }
 
-    /// Opens a call. Until this returns nothing was sent.
+    /// Opens a call. Nothing is sent before this returns.
     pub fn call(
         &self,
         path: &str,
         headers: &[(&'static str, String)],
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(MessageWriter, PendingAnswer), CallError> {
         let mut map = HeaderMap::with_capacity(headers.len() + 2);
         map.insert("content-type", HeaderValue::from_static("application/grpc"));
@@ -489,17 +515,18 @@
             let value = HeaderValue::from_str(value).map_err(|_| CallError::Malformed("a header's value"))?;
             map.insert(*name, value);
         }
-        let (stream, future, counted) = self.begin(path, map, within)?;
-        let writer = MessageWriter { stream, _counted: counted };
-        Ok((writer, PendingAnswer { future, most: self.most, dead: self.dead.clone() }))
+        let (stream, future, count_guard) = self.begin(path, map, timeout)?;
+        let writer = MessageWriter { stream, _count_guard: count_guard };
+        Ok((writer, PendingAnswer { future, max_message: self.max_message, dead: self.dead.clone() }))
     }
 
+    /// Sends the head of a request.
     pub(crate) fn begin(
         &self,
         path: &str,
         headers: HeaderMap,
-        within: Duration,
-    ) -> Result<(SendStream<Bytes>, ResponseFuture, Counted), CallError> {
+        timeout: Duration,
+    ) -> Result<(SendStream<Bytes>, ResponseFuture, CountGuard), CallError> {
         let mut uri = http::uri::Parts::default();
         uri.scheme = Some(http::uri::Scheme::HTTP);
         uri.authority = Some(self.authority.clone());
@@ -508,56 +535,57 @@
         let mut request = Request::new(());
         (*request.method_mut(), *request.uri_mut(), *request.headers_mut()) = (Method::POST, uri, headers);
         // Counted first: a connection may end as idle only while nobody is about to use it.
-        let counted = self.line.begin_call();
+        let count_guard = self.shared_state.begin_call();
         let mut send = self.request.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let failed = |error: h2::Error| {
             self.dead.store(true, Ordering::Relaxed);
-            CallError::of(error, false)
+            CallError::from_h2(error, false)
         };
-        wait(until, |cx| send.poll_ready(cx))
+        poll_until(deadline, |cx| send.poll_ready(cx))
             .ok_or(CallError::NeverRan(NeverRan::NeverWritten))?
             .map_err(failed)?;
         let (future, stream) = send.send_request(request, false).map_err(failed)?;
-        Ok((stream, future, counted))
+        Ok((stream, future, count_guard))
     }
 
-    /// What an ended call says, and of the connection with it.
+    /// Converts the error of an ended call, and marks the connection as dead if the error says so.
     pub(crate) fn failed(&self, error: h2::Error) -> CallError {
         if error.is_io() || error.is_go_away() {
             self.dead.store(true, Ordering::Relaxed);
         }
-        CallError::of(error, true)
+        CallError::from_h2(error, true)
     }
 
-    /// One message there, one back, and the trailers.
+    /// Makes a unary call: sends one message, and returns the answer's message and trailers.
     pub fn unary(
         &self,
         path: &str,
         headers: &[(&'static str, String)],
         message: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(Bytes, Trailers), CallError> {
         let _turn = Turn::begin();
-        let until = Instant::now() + within;
-        let left = || until.saturating_duration_since(Instant::now());
-        let (mut writer, pending) = self.call(path, headers, within)?;
+        let deadline = Instant::now() + timeout;
+        let remaining = || deadline.saturating_duration_since(Instant::now());
+        let (mut writer, pending) = self.call(path, headers, timeout)?;
         let result = (|| {
-            // A server may end the call before it has read all; only the answer's side tells how it ended.
-            let written = writer.send(&message, left()).and_then(|()| writer.finish());
+            // A server may end the call before it has read the whole request, so a failed write is ignored: only
+            // the answer tells how the call ended.
+            let written = writer.send(&message, remaining()).and_then(|()| writer.finish());
             let mut opened = match written {
                 Err(error @ CallError::Deadline(_)) => return Err(error),
-                _ => pending.head(left())?,
+                _ => pending.head(remaining())?,
             };
-            let answer = opened.reader.recv(left()).map_err(CallError::begun)?;
-            let trailers = opened.reader.trailers(left()).map_err(CallError::begun)?;
-            check(&trailers)?;
+            let answer = opened.reader.recv(remaining()).map_err(CallError::after_head)?;
+            let trailers = opened.reader.trailers(remaining()).map_err(CallError::after_head)?;
+            check_status(&trailers)?;
             Ok((answer.ok_or(CallError::Malformed("no message before the status"))?, trailers))
         })();
         match result {
             Err(CallError::Deadline(_)) => {
                 writer.reset(Reason::CANCEL);
-                Err(CallError::Deadline(within))
+                Err(CallError::Deadline(timeout))
             }
             other => other,
         }
--- a/crates/whinhill-transport/src/connection.rs
+++ b/crates/whinhill-transport/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection: handshake, streams taken in, keep-alive, idle end. Polled by its driver only.
+//! One HTTP/2 connection: handshake, incoming streams, keep-alive, idle timeout. Polled by its driver, or by a
+//! thread that has just used it (`polling.rs`).
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,138 +18,147 @@
 use crate::limits::Limits;
 use crate::socket::Socket;
 
-/// Takes each call that comes in. It runs on a driver thread and must not block.
+/// Receives each incoming call. It runs on the thread that polls the connection and must not block.
 pub type Handler = Arc<dyn Fn(ServerCall) + Send + Sync>;
 
 type Request = client::SendRequest<Bytes>;
 
+/// The stage of a connection, at the server's end (`Accepting`, `Serving`) or the client's (`Opening`,
+/// `Calling`).
 enum Role {
     Accepting(server::Handshake<Socket, Bytes>, Handler),
     Serving(server::Connection<Socket, Bytes>, Handler),
-    Opening(Pin<Box<dyn Future<Output = OpenedPair> + Send>>, Sender<Result<Request, h2::Error>>),
+    Opening(Pin<Box<dyn Future<Output = ClientHandshake> + Send>>, Sender<Result<Request, h2::Error>>),
     Calling(client::Connection<Socket, Bytes>),
 }
 
-type OpenedPair = Result<(Request, client::Connection<Socket, Bytes>), h2::Error>;
+type ClientHandshake = Result<(Request, client::Connection<Socket, Bytes>), h2::Error>;
 
-/// What the handle of a client's connection shares with the connection.
+/// State that a client's handle shares with its connection.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// Calls under way.
+pub struct SharedState {
+    /// Calls in flight.
     pub streams: Arc<AtomicUsize>,
-    /// Calls that were begun, of which many are over before anybody looks.
-    begun: Arc<AtomicU64>,
-    /// Reads that brought something, and when the last did, in microseconds after the process's first look.
-    pub reads: Arc<AtomicU64>,
-    pub read_at: Arc<AtomicU64>,
-    /// It is to be broken off.
-    pub severed: Arc<AtomicBool>,
-    /// A driver holds its socket.
-    taken_on: Arc<AtomicBool>,
+    /// Total of calls begun. Many of them begin and end between two ticks, so that `streams` never shows them.
+    calls_begun: Arc<AtomicU64>,
+    /// Reads that returned data.
+    pub read_count: Arc<AtomicU64>,
+    /// When the last of these reads took place, on the clock of [`micros_now`].
+    pub last_read_at: Arc<AtomicU64>,
+    /// The connection is to be aborted.
+    pub aborted: Arc<AtomicBool>,
+    /// A driver has registered the socket.
+    owned_by_driver: Arc<AtomicBool>,
 }
 
-impl Line {
-    /// A connection on which nothing was read yet is silent since now: neither since the process's start, which
-    /// would sever a fresh connection, nor since somebody's first look at the clock.
-    pub fn new(reads: Arc<AtomicU64>) -> Self {
-        Line {
+impl SharedState {
+    /// Until something is read, silence counts from the creation of the connection: not from the start of the
+    /// process, which would have a fresh connection aborted as silent, nor from the first use of [`micros_now`].
+    pub fn new(read_count: Arc<AtomicU64>) -> Self {
+        SharedState {
             streams: Arc::default(),
-            begun: Arc::default(),
-            reads,
-            read_at: Arc::new(AtomicU64::new(micros_now())),
-            severed: Arc::default(),
-            taken_on: Arc::default(),
+            calls_begun: Arc::default(),
+            read_count,
+            last_read_at: Arc::new(AtomicU64::new(micros_now())),
+            aborted: Arc::default(),
+            owned_by_driver: Arc::default(),
         }
     }
 
-    /// Whether a driver holds its socket. Until then nothing can have been sent, nor read.
-    pub fn is_taken_on(&self) -> bool {
-        self.taken_on.load(Ordering::Acquire)
+    /// Whether a driver has registered the socket. Until then nothing can have been sent or read.
+    pub fn is_owned_by_driver(&self) -> bool {
+        self.owned_by_driver.load(Ordering::Acquire)
     }
 
-    /// Counts a call from now until what is returned is dropped.
-    pub fn begin_call(&self) -> Counted {
-        self.begun.fetch_add(1, Ordering::Relaxed);
-        Counted::one_more(&self.streams)
+    /// Counts a call as in flight until the returned guard is dropped.
+    pub fn begin_call(&self) -> CountGuard {
+        self.calls_begun.fetch_add(1, Ordering::Relaxed);
+        CountGuard::new(&self.streams)
     }
 }
 
-/// The process's own clock, in microseconds.
+/// Microseconds since the first call of this function in the process (monotonic).
 pub fn micros_now() -> u64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_micros() as u64
 }
 
-/// Counts something that is alive for as long as this is.
-pub struct Counted(Arc<AtomicUsize>);
+/// Increases a counter for as long as it lives.
+pub struct CountGuard(Arc<AtomicUsize>);
 
-impl Counted {
-    /// One more, unless `most` are there already.
-    pub fn take(count: &Arc<AtomicUsize>, most: usize) -> Option<Self> {
-        let more = |now: usize| (now < most).then_some(now + 1);
-        count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).ok()?;
-        Some(Counted(count.clone()))
+impl CountGuard {
+    /// Increases the counter, unless it has reached `max`.
+    pub fn try_new(count: &Arc<AtomicUsize>, max: usize) -> Option<Self> {
+        let increment = |now: usize| (now < max).then_some(now + 1);
+        count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).ok()?;
+        Some(CountGuard(count.clone()))
     }
 
-    fn one_more(count: &Arc<AtomicUsize>) -> Self {
+    fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
-        Counted(count.clone())
+        CountGuard(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// How far a listener is on its way to its end.
+/// The state of a listener's shutdown, shared with its connections.
 #[derive(Debug, Default)]
-pub struct Ending {
-    /// It takes nobody in any more.
+pub struct ListenerShutdown {
+    /// No further connections are accepted.
     pub stop: AtomicBool,
-    /// And ends the connections that stand, in good order.
+    /// Existing connections are shut down gracefully.
     pub draining: AtomicBool,
 }
 
-/// A connection that a listener has taken in: it counts there, and learns when that listener drains.
-pub struct Admitted {
-    _counted: Counted,
-    ending: Arc<Ending>,
+/// An accepted connection's place in its listener: counted there until dropped, and notified when the listener
+/// drains.
+pub struct ListenerSlot {
+    _count_guard: CountGuard,
+    shutdown: Arc<ListenerShutdown>,
 }
 
-impl Admitted {
-    pub fn new(counted: Counted, ending: Arc<Ending>) -> Self {
-        Admitted { _counted: counted, ending }
+impl ListenerSlot {
+    /// Takes a place, counted by `count_guard`.
+    pub fn new(count_guard: CountGuard, shutdown: Arc<ListenerShutdown>) -> Self {
+        ListenerSlot { _count_guard: count_guard, shutdown }
     }
 }
 
+/// An HTTP/2 connection at either end, with its keep-alive and idle timers.
 pub struct Connection {
     role: Role,
     peer: SocketAddr,
     limits: Limits,
-    line: Line,
-    seen: u64,
-    born: Instant,
-    heard: Instant,
-    /// When the last stream was there.
-    busy: Instant,
-    /// The calls that had been begun by then.
-    begun_seen: u64,
-    pings: Option<PingPong>,
-    pinged: Option<Instant>,
+    shared_state: SharedState,
+    /// Value of `SharedState::read_count` at the end of the last poll.
+    seen_reads: u64,
+    created_at: Instant,
+    last_read: Instant,
+    /// The last tick at which a stream was open or a call had begun since the tick before.
+    last_busy: Instant,
+    /// `SharedState::calls_begun` at that tick.
+    seen_calls_begun: u64,
+    ping_pong: Option<PingPong>,
+    /// When the ping was sent that is not answered yet.
+    ping_sent_at: Option<Instant>,
     closing: bool,
-    admitted: Option<Admitted>,
+    slot: Option<ListenerSlot>,
 }
 
 impl Connection {
+    /// The server's end, on an accepted socket.
     pub fn accepted(
         socket: Socket,
         peer: SocketAddr,
-        reads: Arc<AtomicU64>,
+        read_count: Arc<AtomicU64>,
         limits: Limits,
         handler: Handler,
-        admitted: Admitted,
+        slot: ListenerSlot,
     ) -> Self {
         let mut builder = server::Builder::new();
         builder
@@ -159,15 +169,16 @@
             .max_concurrent_reset_streams(limits.streams_most as usize)
             .max_send_buffer_size(limits.message_most + (64 << 10));
         let role = Role::Accepting(builder.handshake(socket), handler);
-        Connection::new(role, peer, limits, Line::new(reads), Some(admitted))
+        Connection::new(role, peer, limits, SharedState::new(read_count), Some(slot))
     }
 
+    /// The client's end, on a connected socket. `result` gets the result of the handshake.
     pub fn opened(
         socket: Socket,
         peer: SocketAddr,
         limits: Limits,
-        line: Line,
-        answer: Sender<Result<Request, h2::Error>>,
+        shared_state: SharedState,
+        result: Sender<Result<Request, h2::Error>>,
     ) -> Self {
         let mut builder = client::Builder::new();
         builder
@@ -176,39 +187,45 @@
             .initial_window_size(limits.window)
             .initial_connection_window_size(limits.window.saturating_mul(16))
             .max_send_buffer_size(limits.message_most + (64 << 10));
-        line.taken_on.store(true, Ordering::Release);
+        shared_state.owned_by_driver.store(true, Ordering::Release);
         let opening = async move { builder.handshake(socket).await };
-        Connection::new(Role::Opening(Box::pin(opening), answer), peer, limits, line, None)
+        Connection::new(Role::Opening(Box::pin(opening), result), peer, limits, shared_state, None)
     }
 
-    fn new(role: Role, peer: SocketAddr, limits: Limits, line: Line, admitted: Option<Admitted>) -> Self {
+    fn new(
+        role: Role,
+        peer: SocketAddr,
+        limits: Limits,
+        shared_state: SharedState,
+        slot: Option<ListenerSlot>,
+    ) -> Self {
         let now = Instant::now();
         Connection {
             role,
             peer,
             limits,
-            line,
-            seen: 0,
-            born: now,
-            heard: now,
-            busy: now,
-            begun_seen: 0,
-            pings: None,
-            pinged: None,
+            shared_state,
+            seen_reads: 0,
+            created_at: now,
+            last_read: now,
+            last_busy: now,
+            seen_calls_begun: 0,
+            ping_pong: None,
+            ping_sent_at: None,
             closing: false,
-            admitted,
+            slot,
         }
     }
 
-    /// Does all that can be done now. False once the connection has ended.
+    /// Makes all progress that is possible without blocking. False once the connection has ended.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> bool {
-        let reads = self.line.reads.load(Ordering::Relaxed);
+        let read_count = self.shared_state.read_count.load(Ordering::Relaxed);
         loop {
             match &mut self.role {
                 Role::Accepting(handshake, handler) => match Pin::new(handshake).poll(cx) {
                     Poll::Pending => break,
                     Poll::Ready(Ok(mut connection)) => {
-                        self.pings = connection.ping_pong();
+                        self.ping_pong = connection.ping_pong();
                         self.role = Role::Serving(connection, handler.clone());
                     }
                     Poll::Ready(Err(error)) => return self.ended(&error.to_string()),
@@ -216,23 +233,23 @@
                 Role::Serving(connection, handler) => match connection.poll_accept(cx) {
                     Poll::Pending => break,
                     Poll::Ready(Some(Ok((request, respond)))) => {
-                        let (most, counted) = (self.limits.message_most, self.line.begin_call());
-                        handler(ServerCall::new(request, respond, self.peer, most, counted));
+                        let (max, count_guard) = (self.limits.message_most, self.shared_state.begin_call());
+                        handler(ServerCall::new(request, respond, self.peer, max, count_guard));
                     }
                     Poll::Ready(Some(Err(error))) => return self.ended(&error.to_string()),
                     Poll::Ready(None) => return self.ended("closed"),
                 },
-                Role::Opening(opening, answer) => match opening.as_mut().poll(cx) {
+                Role::Opening(opening, result) => match opening.as_mut().poll(cx) {
                     Poll::Pending => break,
                     Poll::Ready(Ok((request, mut connection))) => {
-                        self.pings = connection.ping_pong();
-                        // Whoever opened it may have stopped waiting; the connection then ends by itself.
-                        let _ = answer.try_send(Ok(request));
+                        self.ping_pong = connection.ping_pong();
+                        // The opener may have stopped waiting; the connection then ends by itself.
+                        let _ = result.try_send(Ok(request));
                         self.role = Role::Calling(connection);
                     }
                     Poll::Ready(Err(error)) => {
                         let text = error.to_string();
-                        let _ = answer.try_send(Err(error));
+                        let _ = result.try_send(Err(error));
                         return self.ended(&text);
                     }
                 },
@@ -243,21 +260,25 @@
                 },
             }
         }
-        if self.pinged.is_some() {
-            if let Some(Poll::Ready(Ok(_))) = self.pings.as_mut().map(|pings| pings.poll_pong(cx)) {
-                self.pinged = None;
+        if self.ping_sent_at.is_some() {
+            if let Some(Poll::Ready(Ok(_))) = self.ping_pong.as_mut().map(|ping_pong| ping_pong.poll_pong(cx))
+            {
+                self.ping_sent_at = None;
             }
         }
-        if reads != self.seen || self.line.reads.load(Ordering::Relaxed) != self.seen {
-            self.seen = self.line.reads.load(Ordering::Relaxed);
-            self.heard = Instant::now();
-            self.line.read_at.store(micros_now(), Ordering::Relaxed);
+        if read_count != self.seen_reads
+            || self.shared_state.read_count.load(Ordering::Relaxed) != self.seen_reads
+        {
+            self.seen_reads = self.shared_state.read_count.load(Ordering::Relaxed);
+            self.last_read = Instant::now();
+            self.shared_state.last_read_at.store(micros_now(), Ordering::Relaxed);
         }
         true
     }
 
+    /// Logs why the connection ended; returns what `poll` returns then.
     fn ended(&self, why: &str) -> bool {
-        // A peer that goes away in good order is no event; rubbish, a limit passed or a reset is one.
+        // A graceful close is only a debug event; a protocol error, an exceeded limit or a reset is a warning.
         if why == "closed" || self.closing {
             debug!(peer = %self.peer, why, "connection ended");
         } else {
@@ -266,52 +287,53 @@
         false
     }
 
-    /// Looks at the clocks. False if the connection must end.
+    /// Checks the time limits. False if the connection must end.
     pub fn tick(&mut self, now: Instant) -> bool {
-        let streams = self.line.streams.load(Ordering::Relaxed);
-        if self.line.severed.load(Ordering::Relaxed) {
-            warn!(peer = %self.peer, streams, "connection broken off: nothing was heard on it");
+        let streams = self.shared_state.streams.load(Ordering::Relaxed);
+        if self.shared_state.aborted.load(Ordering::Relaxed) {
+            warn!(peer = %self.peer, streams, "connection aborted: nothing was received on it");
             return false;
         }
-        let begun = self.line.begun.load(Ordering::Relaxed);
-        if streams > 0 || begun != self.begun_seen {
-            (self.busy, self.begun_seen) = (now, begun);
+        let calls_begun = self.shared_state.calls_begun.load(Ordering::Relaxed);
+        if streams > 0 || calls_begun != self.seen_calls_begun {
+            (self.last_busy, self.seen_calls_begun) = (now, calls_begun);
         }
         if matches!(self.role, Role::Accepting(..) | Role::Opening(..)) {
-            if now.duration_since(self.born) > self.limits.handshake {
-                warn!(peer = %self.peer, within = ?self.limits.handshake, "connection closed: no handshake");
+            if now.duration_since(self.created_at) > self.limits.handshake {
+                warn!(peer = %self.peer, within = ?self.limits.handshake, "connection closed: the handshake timed out");
                 return false;
             }
-            // A server that speaks only once spoken to is judged by its first settings below.
+            // A server that sends nothing before the client has written passes here; below, it is checked that
+            // it sends its settings in time.
             return true;
         }
-        if self.seen == 0 && now.duration_since(self.born) > self.limits.handshake {
-            warn!(peer = %self.peer, within = ?self.limits.handshake, "connection closed: the peer says nothing");
+        if self.seen_reads == 0 && now.duration_since(self.created_at) > self.limits.handshake {
+            warn!(peer = %self.peer, within = ?self.limits.handshake, "connection closed: the peer sent nothing");
             return false;
         }
-        if let Some(pinged) = self.pinged {
-            if self.heard > pinged {
-                self.pinged = None;
-            } else if now.duration_since(pinged) > self.limits.keep_alive_answer {
+        if let Some(ping_sent_at) = self.ping_sent_at {
+            if self.last_read > ping_sent_at {
+                self.ping_sent_at = None;
+            } else if now.duration_since(ping_sent_at) > self.limits.keep_alive_answer {
                 let within = self.limits.keep_alive_answer;
-                warn!(peer = %self.peer, ?within, streams, "connection closed: no answer to a ping");
+                warn!(peer = %self.peer, ?within, streams, "connection closed: a ping was not answered");
                 return false;
             }
-        } else if now.duration_since(self.heard) > self.limits.keep_alive {
-            let ping = self.pings.as_mut().map(|pings| pings.send_ping(Ping::opaque()));
-            self.pinged = matches!(ping, Some(Ok(()))).then_some(now);
+        } else if now.duration_since(self.last_read) > self.limits.keep_alive {
+            let ping = self.ping_pong.as_mut().map(|ping_pong| ping_pong.send_ping(Ping::opaque()));
+            self.ping_sent_at = matches!(ping, Some(Ok(()))).then_some(now);
         }
-        if streams == 0 && now.duration_since(self.busy) > self.limits.idle {
+        if streams == 0 && now.duration_since(self.last_busy) > self.limits.idle {
             debug!(peer = %self.peer, "idle connection closed");
             self.close();
         }
-        if self.admitted.as_ref().is_some_and(|admitted| admitted.ending.draining.load(Ordering::Relaxed)) {
+        if self.slot.as_ref().is_some_and(|slot| slot.shutdown.draining.load(Ordering::Relaxed)) {
             self.close();
         }
         true
     }
 
-    /// Ends it in good order: streams under way may finish.
+    /// Shuts down gracefully: streams that are open may finish.
     pub fn close(&mut self) {
         if self.closing {
             return;
@@ -319,14 +341,15 @@
         self.closing = true;
         match &mut self.role {
             Role::Serving(connection, _) => connection.graceful_shutdown(),
-            // It ends by itself once every handle is dropped; an idle one has none but the opener's.
+            // A client's connection ends by itself once every handle is dropped; an idle one has no handles but
+            // the opener's.
             Role::Calling(_) => {}
             Role::Accepting(..) | Role::Opening(..) => {}
         }
     }
 
-    /// A client's connection that is idle ends at once: it has no stream to lose.
-    pub fn may_drop(&self) -> bool {
+    /// Whether a closing connection may be dropped at once: a client's idle connection has no stream to lose.
+    pub fn can_drop(&self) -> bool {
         self.closing && !matches!(self.role, Role::Serving(..))
     }
 }
--- a/crates/whinhill-transport/src/driver.rs
+++ b/crates/whinhill-transport/src/driver.rs
@@ -1,5 +1,6 @@
-//! The threads that turn connections. Each holds some of them, sleeps until one has something to do, and
-//! polls just that one. A thread that hands a call something to send may turn that connection itself: see `turning.rs`.
+//! The threads that poll connections. Each driver owns some of the connections, sleeps until one has something
+//! to do, and polls only that one. A thread that hands data to a call may poll the connection itself: see
+//! `polling.rs`.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -16,67 +17,70 @@
 use tracing::error;
 use whinhill_errors::{is_scarce, until_had};
 
-use crate::connection::{Admitted, Connection, Handler, Line};
+use crate::connection::{Connection, Handler, ListenerSlot, SharedState};
 use crate::limits::Limits;
+use crate::polling::{Pollable, Turn};
 use crate::socket::Socket;
-use crate::turning::{Turn, Turned};
 
-const STACK: usize = 256 << 10;
-/// How often clocks are looked at: the grain of every limit in time.
-const TICK: Duration = Duration::from_millis(50);
-/// How long a system short of descriptors or memory may keep a driver from its start.
-const START_WITHIN: Duration = Duration::from_secs(5);
-/// Sockets waiting to be taken on by a driver; further ones are refused.
-const INBOX: usize = 4096;
-const WAKE: Token = Token(usize::MAX);
+/// Stack size of a driver thread in bytes.
+const DRIVER_STACK: usize = 256 << 10;
+/// Interval at which connections check their time limits: the resolution of each of those limits.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// For how long the start of a driver is retried while the system is short of descriptors or memory.
+const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Capacity of a driver's queue of new sockets; further ones are refused.
+const INBOX_CAPACITY: usize = 4096;
+/// Token of wake-up events; other tokens are keys of connections.
+const WAKE_TOKEN: Token = Token(usize::MAX);
 
-/// Wakes the thread, and says which connection has something to do.
-struct Bell {
+/// Wakes a driver thread and records which connections are ready to be polled.
+struct DriverWaker {
     waker: mio::Waker,
     ready: Mutex<Vec<usize>>,
-    rung: AtomicBool,
+    notified: AtomicBool,
 }
 
-impl Bell {
-    fn ring(&self, key: Option<usize>) {
+impl DriverWaker {
+    fn notify(&self, key: Option<usize>) {
         if let Some(key) = key {
             self.ready.lock().unwrap_or_else(PoisonError::into_inner).push(key);
         }
-        if !self.rung.swap(true, Ordering::AcqRel) {
-            // It fails only when the process is out of file descriptors; the tick then finds the work.
+        if !self.notified.swap(true, Ordering::AcqRel) {
+            // This fails only when the process is out of file descriptors; the next tick then finds the ready
+            // connections.
             let _ = self.waker.wake();
         }
     }
 
-    fn take(&self, into: &mut Vec<usize>) {
-        self.rung.store(false, Ordering::Release);
+    fn take_ready(&self, into: &mut Vec<usize>) {
+        self.notified.store(false, Ordering::Release);
         into.append(&mut self.ready.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-/// One connection, as whoever turns it finds it.
-struct Ring {
-    bell: Arc<Bell>,
+/// One connection, shared by its driver and the threads whose calls wake it.
+struct SharedConnection {
+    driver: Arc<DriverWaker>,
     key: usize,
     queued: AtomicBool,
-    /// Held for one poll, which never blocks: sockets are non-blocking. Taken out once it has ended, since it keeps
-    /// wakers that hold this.
+    /// Locked for one poll, which never blocks since sockets are non-blocking. Taken out once the connection has
+    /// ended, because it stores wakers that refer to this object.
     connection: Mutex<Option<Connection>>,
-    /// It ended in another thread's hands; its driver takes it down.
+    /// The connection ended while another thread polled it; its driver removes it.
     ended: AtomicBool,
 }
 
-impl Wake for Ring {
+impl Wake for SharedConnection {
     fn wake(self: Arc<Self>) {
         if !self.queued.swap(true, Ordering::AcqRel) {
-            if let Err(ring) = Turn::later(self) {
-                ring.bell.ring(Some(ring.key));
+            if let Err(shared) = Turn::defer(self) {
+                shared.driver.notify(Some(shared.key));
             }
         }
     }
 }
 
-impl Ring {
+impl SharedConnection {
     fn poll(self: &Arc<Self>, connection: &mut Connection) -> bool {
         self.queued.store(false, Ordering::Release);
         let waker = Waker::from(self.clone());
@@ -84,176 +88,203 @@
     }
 }
 
-impl Turned for Ring {
-    fn turn(self: Arc<Self>) {
+impl Pollable for SharedConnection {
+    fn poll_on_this_thread(self: Arc<Self>) {
         let polled = match self.connection.try_lock() {
             Ok(mut connection) => connection.as_mut().map(|connection| self.poll(connection)),
-            // Its driver, or another caller, is at it: it may be past what we have added.
+            // The driver or another caller is polling it, and may already have passed the point where our data
+            // would be written.
             Err(_) => None,
         };
         if polled == Some(false) {
             self.ended.store(true, Ordering::Release);
         }
         if polled != Some(true) {
-            self.hand_back();
+            self.schedule_on_driver();
         }
     }
 
-    fn hand_back(self: Arc<Self>) {
-        self.bell.ring(Some(self.key));
+    fn schedule_on_driver(self: Arc<Self>) {
+        self.driver.notify(Some(self.key));
     }
 }
 
-/// A socket that is to be taken on, and since when.
-struct Waiting {
-    what: Adopt,
+/// A command that waits to be carried out, and since when.
+struct PendingCommand {
+    command: Command,
     since: Instant,
 }
 
-enum Adopt {
-    Accepted { socket: TcpStream, peer: SocketAddr, limits: Limits, handler: Handler, admitted: Admitted },
-    Opened { socket: TcpStream, peer: SocketAddr, limits: Limits, line: Line, answer: Answer },
+/// What a driver thread is told to do.
+enum Command {
+    Accepted {
+        socket: TcpStream,
+        peer: SocketAddr,
+        limits: Limits,
+        handler: Handler,
+        slot: ListenerSlot,
+    },
+    Opened {
+        socket: TcpStream,
+        peer: SocketAddr,
+        limits: Limits,
+        shared_state: SharedState,
+        handshake_result: HandshakeSender,
+    },
     Stop,
 }
 
-type Answer = Sender<Result<h2::client::SendRequest<bytes::Bytes>, h2::Error>>;
+/// Where the result of a client's handshake is sent.
+type HandshakeSender = Sender<Result<h2::client::SendRequest<bytes::Bytes>, h2::Error>>;
 
-impl Adopt {
-    /// Its socket, and how long its handshake may take; `None` where the driver is to stop.
+impl Command {
+    /// The new socket and its handshake timeout; `None` for `Stop`.
     fn socket(&self) -> Option<(&TcpStream, Duration)> {
         match self {
-            Adopt::Accepted { socket, limits, .. } | Adopt::Opened { socket, limits, .. } => {
+            Command::Accepted { socket, limits, .. } | Command::Opened { socket, limits, .. } => {
                 Some((socket, limits.handshake))
             }
-            Adopt::Stop => None,
+            Command::Stop => None,
         }
     }
 }
 
-struct Held {
-    ring: Arc<Ring>,
+/// A connection that a driver owns, with its registered descriptor.
+struct OwnedConnection {
+    shared: Arc<SharedConnection>,
     fd: RawFd,
 }
 
-impl Held {
-    /// Turns it. False once it has ended.
-    fn turn(&self, ticked: Option<Instant>) -> bool {
-        let mut connection = self.ring.connection.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(connection) = connection.as_mut().filter(|_| !self.ring.ended.load(Ordering::Acquire))
+impl OwnedConnection {
+    /// Polls the connection, after its time checks where a tick is due. False once it has ended.
+    fn poll(&self, ticked: Option<Instant>) -> bool {
+        let mut connection = self.shared.connection.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(connection) = connection.as_mut().filter(|_| !self.shared.ended.load(Ordering::Acquire))
         else {
             return false;
         };
         let in_time = ticked.is_none_or(|now| connection.tick(now));
-        in_time && !connection.may_drop() && self.ring.poll(connection)
+        in_time && !connection.can_drop() && self.shared.poll(connection)
     }
 
-    /// Closes it.
+    /// Drops the connection, which closes its socket.
     fn close(self) {
-        let taken = self.ring.connection.lock().unwrap_or_else(PoisonError::into_inner).take();
-        // Outside of the lock: what waits on its streams is woken by this, and may wake it in turn.
-        drop(taken);
+        let ended = self.shared.connection.lock().unwrap_or_else(PoisonError::into_inner).take();
+        // Dropped after the lock is released: this wakes tasks that wait on the connection's streams, and they
+        // may wake the connection in turn.
+        drop(ended);
     }
 }
 
-/// The driver threads of a process. Dropping the last handle ends them and every connection they hold.
+/// Handle to the driver threads of a process. Dropping the last handle ends the threads and all their
+/// connections.
 #[derive(Clone)]
 pub struct Drivers(Arc<Inner>);
 
 struct Inner {
-    drivers: Vec<(Sender<Adopt>, Arc<Bell>)>,
+    drivers: Vec<(Sender<Command>, Arc<DriverWaker>)>,
     next: AtomicUsize,
 }
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        for (inbox, bell) in &self.drivers {
-            let _ = inbox.try_send(Adopt::Stop);
-            bell.ring(None);
+        for (inbox, driver) in &self.drivers {
+            let _ = inbox.try_send(Command::Stop);
+            driver.notify(None);
         }
     }
 }
 
 impl Drivers {
-    /// Starts `threads` of them, named after `name`.
+    /// Starts `threads` driver threads (at least one), named `{name}-h2-{number}`.
     pub fn start(name: &str, threads: usize) -> io::Result<Self> {
         let mut drivers = Vec::new();
         for number in 0..threads.max(1) {
-            let (poll, waker) = until_had(START_WITHIN, is_scarce, poll_with_waker)?;
-            let bell = Arc::new(Bell { waker, ready: Mutex::default(), rung: AtomicBool::new(false) });
-            let (inbox, taken) = bounded(INBOX);
-            drivers.push((inbox, bell.clone()));
-            let thread = thread::Builder::new().name(format!("{name}-h2-{number}")).stack_size(STACK);
+            let (poll, waker) = until_had(START_RETRY_TIMEOUT, is_scarce, poll_with_waker)?;
+            let driver =
+                Arc::new(DriverWaker { waker, ready: Mutex::default(), notified: AtomicBool::new(false) });
+            let (inbox, commands) = bounded(INBOX_CAPACITY);
+            drivers.push((inbox, driver.clone()));
+            let thread = thread::Builder::new().name(format!("{name}-h2-{number}")).stack_size(DRIVER_STACK);
             thread.spawn(move || {
-                if let Err(error) = turn(poll, &bell, &taken) {
-                    error!(%error, "a driver thread ended; its connections are lost");
+                if let Err(error) = run_driver(poll, &driver, &commands) {
+                    error!(%error, "driver thread failed; its connections are lost");
                 }
             })?;
         }
         Ok(Drivers(Arc::new(Inner { drivers, next: AtomicUsize::new(0) })))
     }
 
-    fn adopt(&self, what: Adopt) -> io::Result<()> {
-        let place = self.0.next.fetch_add(1, Ordering::Relaxed) % self.0.drivers.len();
-        let (inbox, bell) = &self.0.drivers[place];
-        inbox.try_send(what).map_err(|_| io::Error::other("too many connections wait to be taken on"))?;
-        bell.ring(None);
+    fn send(&self, command: Command) -> io::Result<()> {
+        let index = self.0.next.fetch_add(1, Ordering::Relaxed) % self.0.drivers.len();
+        let (inbox, driver) = &self.0.drivers[index];
+        inbox.try_send(command).map_err(|_| io::Error::other("too many connections wait for a driver"))?;
+        driver.notify(None);
         Ok(())
     }
 
-    pub(crate) fn accepted(
+    pub(crate) fn add_accepted(
         &self,
         socket: TcpStream,
         peer: SocketAddr,
         limits: Limits,
         handler: Handler,
-        admitted: Admitted,
+        slot: ListenerSlot,
     ) -> io::Result<()> {
-        self.adopt(Adopt::Accepted { socket, peer, limits, handler, admitted })
+        self.send(Command::Accepted { socket, peer, limits, handler, slot })
     }
 
-    pub(crate) fn opened(
+    pub(crate) fn add_opened(
         &self,
         socket: TcpStream,
         peer: SocketAddr,
         limits: Limits,
-        line: Line,
-        answer: Answer,
+        shared_state: SharedState,
+        handshake_result: HandshakeSender,
     ) -> io::Result<()> {
-        self.adopt(Adopt::Opened { socket, peer, limits, line, answer })
+        self.send(Command::Opened { socket, peer, limits, shared_state, handshake_result })
     }
 }
 
-/// Both at once: a poll whose waker could not be made takes no other.
+/// Creates the poll and its waker together: a poll whose waker could not be created can't be used with another
+/// one.
 fn poll_with_waker() -> io::Result<(Poll, mio::Waker)> {
     let poll = Poll::new()?;
-    let waker = mio::Waker::new(poll.registry(), WAKE)?;
+    let waker = mio::Waker::new(poll.registry(), WAKE_TOKEN)?;
     Ok((poll, waker))
 }
 
-/// Makes a connection of a socket that is prepared.
-fn take_on(bell: &Arc<Bell>, key: usize, fd: RawFd, what: Adopt) -> Option<Held> {
-    let connection = match what {
-        Adopt::Stop => return None,
-        Adopt::Accepted { socket, peer, limits, handler, admitted } => {
-            let reads = Arc::new(AtomicU64::new(0));
-            let socket = Socket::new(Box::new(socket), reads.clone(), Arc::default());
-            Connection::accepted(socket, peer, reads, limits, handler, admitted)
+/// Creates the connection for a socket that has been registered.
+fn create_connection(
+    driver: &Arc<DriverWaker>,
+    key: usize,
+    fd: RawFd,
+    command: Command,
+) -> Option<OwnedConnection> {
+    let connection = match command {
+        Command::Stop => return None,
+        Command::Accepted { socket, peer, limits, handler, slot } => {
+            let read_count = Arc::new(AtomicU64::new(0));
+            let socket = Socket::new(Box::new(socket), read_count.clone(), Arc::default());
+            Connection::accepted(socket, peer, read_count, limits, handler, slot)
         }
-        Adopt::Opened { socket, peer, limits, line, answer } => {
-            let socket = Socket::new(Box::new(socket), line.reads.clone(), line.severed.clone());
-            Connection::opened(socket, peer, limits, line, answer)
+        Command::Opened { socket, peer, limits, shared_state, handshake_result } => {
+            let socket =
+                Socket::new(Box::new(socket), shared_state.read_count.clone(), shared_state.aborted.clone());
+            Connection::opened(socket, peer, limits, shared_state, handshake_result)
         }
     };
-    let ring = Ring {
-        bell: bell.clone(),
+    let shared = SharedConnection {
+        driver: driver.clone(),
         key,
         queued: AtomicBool::new(true),
         connection: Mutex::new(Some(connection)),
         ended: AtomicBool::new(false),
     };
-    Some(Held { ring: Arc::new(ring), fd })
+    Some(OwnedConnection { shared: Arc::new(shared), fd })
 }
 
+/// Makes the socket non-blocking and registers it with the poll.
 fn prepare(poll: &Poll, socket: &TcpStream, key: usize) -> io::Result<RawFd> {
     socket.set_nonblocking(true)?;
     socket.set_nodelay(true)?;
@@ -263,60 +294,62 @@
     Ok(fd)
 }
 
-fn turn(mut poll: Poll, bell: &Arc<Bell>, inbox: &Receiver<Adopt>) -> io::Result<()> {
-    let mut held: Vec<Option<Held>> = Vec::new();
-    let mut free: Vec<usize> = Vec::new();
-    let mut due: Vec<usize> = Vec::new();
-    let mut waiting: Vec<Waiting> = Vec::new();
+/// The main loop of a driver thread.
+fn run_driver(mut poll: Poll, driver: &Arc<DriverWaker>, inbox: &Receiver<Command>) -> io::Result<()> {
+    let mut connections: Vec<Option<OwnedConnection>> = Vec::new();
+    let mut free_keys: Vec<usize> = Vec::new();
+    let mut ready_keys: Vec<usize> = Vec::new();
+    let mut pending: Vec<PendingCommand> = Vec::new();
     let mut events = Events::with_capacity(1024);
-    let mut next_tick = Instant::now() + TICK;
+    let mut next_tick = Instant::now() + TICK_INTERVAL;
     loop {
-        let left = next_tick.saturating_duration_since(Instant::now());
-        match poll.poll(&mut events, Some(left)) {
+        let remaining = next_tick.saturating_duration_since(Instant::now());
+        match poll.poll(&mut events, Some(remaining)) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             other => other?,
         }
-        due.clear();
-        due.extend(events.iter().map(|event| event.token()).filter(|t| *t != WAKE).map(|t| t.0));
-        bell.take(&mut due);
+        ready_keys.clear();
+        ready_keys.extend(events.iter().map(|event| event.token()).filter(|t| *t != WAKE_TOKEN).map(|t| t.0));
+        driver.take_ready(&mut ready_keys);
         let now = Instant::now();
-        waiting.extend(inbox.try_iter().map(|what| Waiting { what, since: now }));
-        for Waiting { what, since } in std::mem::take(&mut waiting) {
-            let Some((socket, within)) = what.socket() else {
-                held.into_iter().flatten().for_each(Held::close);
+        pending.extend(inbox.try_iter().map(|command| PendingCommand { command, since: now }));
+        for PendingCommand { command, since } in std::mem::take(&mut pending) {
+            let Some((socket, timeout)) = command.socket() else {
+                connections.into_iter().flatten().for_each(OwnedConnection::close);
                 return Ok(());
             };
-            let key = free.pop().unwrap_or(held.len());
-            held.resize_with(held.len().max(key + 1), || None);
+            let key = free_keys.pop().unwrap_or(connections.len());
+            connections.resize_with(connections.len().max(key + 1), || None);
             match prepare(&poll, socket, key) {
-                Ok(fd) => held[key] = take_on(bell, key, fd, what),
+                Ok(fd) => connections[key] = create_connection(driver, key, fd, command),
                 Err(error) => {
-                    free.push(key);
-                    if is_scarce(&error) && since.elapsed() < within {
-                        // Looked at again with the next event or tick.
-                        waiting.push(Waiting { what, since });
+                    free_keys.push(key);
+                    if is_scarce(&error) && since.elapsed() < timeout {
+                        // Retried after the next event or tick.
+                        pending.push(PendingCommand { command, since });
                     } else {
-                        error!(%error, "a socket could not be taken on");
+                        error!(%error, "failed to register a socket");
                     }
                     continue;
                 }
             }
-            due.push(key);
+            ready_keys.push(key);
         }
         let ticked = now >= next_tick;
         if ticked {
-            next_tick = now + TICK;
-            due.extend((0..held.len()).filter(|key| held[*key].is_some()));
+            next_tick = now + TICK_INTERVAL;
+            ready_keys.extend((0..connections.len()).filter(|key| connections[*key].is_some()));
         }
-        due.sort_unstable();
-        due.dedup();
-        for key in due.drain(..) {
-            let Some(one) = held.get(key).and_then(Option::as_ref) else { continue };
-            if !one.turn(ticked.then_some(now)) {
-                // Deregister before the socket closes, so that a later one of the same number is not confused with it.
+        ready_keys.sort_unstable();
+        ready_keys.dedup();
+        for key in ready_keys.drain(..) {
+            let Some(one) = connections.get(key).and_then(Option::as_ref) else { continue };
+            if !one.poll(ticked.then_some(now)) {
+                // Deregister before the socket closes, so that a later socket with the same descriptor is not
+                // confused with it.
                 let _ = poll.registry().deregister(&mut SourceFd(&one.fd));
-                held[key].take().into_iter().for_each(Held::close);
-                free.push(key);
+                connections[key].take().into_iter().for_each(OwnedConnection::close);
+                free_keys.push(key);
             }
         }
     }
--- a/crates/whinhill-transport/src/error.rs
+++ b/crates/whinhill-transport/src/error.rs
@@ -1,9 +1,9 @@
-//! How a call can fail, and what that proves.
+//! How a call can fail, and which failures prove that it did not run at the server.
 
 use std::io;
 use std::time::Duration;
 
-/// gRPC status codes that this program uses; others are kept as their number.
+/// gRPC status codes that this program uses; others keep their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     Ok,
@@ -20,6 +20,7 @@
 }
 
 impl Code {
+    /// The code's number on the wire.
     pub fn number(self) -> u16 {
         match self {
             Code::Ok => 0,
@@ -36,6 +37,7 @@
         }
     }
 
+    /// The code of a number on the wire.
     pub fn from_number(number: u16) -> Self {
         match number {
             0 => Code::Ok,
@@ -53,14 +55,14 @@
     }
 }
 
-/// Why a try is known not to have run at the server. Nothing else is proof.
+/// Why a try is known not to have run at the server. No other failure proves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NeverRan {
     /// No connection could be opened.
     NoConnection,
-    /// This system had no socket, port or route to try it with: the peer was not asked.
+    /// The local system had no socket, port or route for it: the peer was not contacted.
     NotTried,
-    /// The connection ended before the request's first byte was handed to it.
+    /// The connection ended before the first byte of the request was handed to it.
     NeverWritten,
     /// The server reset the stream with REFUSED_STREAM (RFC 9113, 8.7).
     RefusedStream,
@@ -68,6 +70,7 @@
     AboveGoAway,
 }
 
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     #[error("never ran at the server: {0:?}")]
@@ -87,13 +90,13 @@
 }
 
 impl CallError {
-    /// Reads what `h2` says of an ended stream. `sent` tells whether the request was handed to the connection.
-    pub(crate) fn of(error: h2::Error, sent: bool) -> Self {
+    /// Converts the error of an ended stream. `sent` says whether the request was handed to the connection.
+    pub(crate) fn from_h2(error: h2::Error, sent: bool) -> Self {
         let refused = error.reason() == Some(h2::Reason::REFUSED_STREAM);
         if error.is_remote() && error.is_reset() && refused {
             CallError::NeverRan(NeverRan::RefusedStream)
         } else if error.is_go_away() && error.is_remote() {
-            // h2 gives this error only to streams above the last one that GOAWAY names.
+            // `h2` gives this error only to streams above the last one that GOAWAY names.
             CallError::NeverRan(NeverRan::AboveGoAway)
         } else if !sent {
             CallError::NeverRan(NeverRan::NeverWritten)
@@ -102,20 +105,24 @@
         }
     }
 
-    /// What fails after the answer's head has come did run, whatever the server says of it: found by drawing what a
-    /// server may send (`tests/ends.rs`).
-    pub(crate) fn begun(self) -> Self {
+    /// Converts an error that occurred after the answer's head had arrived: the call did run, whatever the
+    /// server says. Without this, `tests/call_endings.rs` finds servers that answer and then claim that nothing
+    /// ran.
+    pub(crate) fn after_head(self) -> Self {
         match self {
-            CallError::NeverRan(said) => CallError::Reset(format!("{said:?}, though it had begun to answer")),
+            CallError::NeverRan(claim) => {
+                CallError::Reset(format!("{claim:?}, though it had begun to answer"))
+            }
             other => other,
         }
     }
 
-    /// Reads what `h2` says of a stream that ended after its answer's head.
-    pub(crate) fn broken(error: h2::Error) -> Self {
-        CallError::of(error, true).begun()
+    /// Converts the error of a stream that ended after its answer's head.
+    pub(crate) fn from_h2_after_head(error: h2::Error) -> Self {
+        CallError::from_h2(error, true).after_head()
     }
 
+    /// The proof that the call did not run at the server, if there is one.
     pub fn never_ran(&self) -> Option<NeverRan> {
         match self {
             CallError::NeverRan(proof) => Some(*proof),
--- a/crates/whinhill-transport/src/framing.rs
+++ b/crates/whinhill-transport/src/framing.rs
@@ -1,59 +1,65 @@
-//! Watches gRPC messages go by in pieces, and measures them. No I/O; nothing is put together.
+//! Checks the sizes of gRPC messages in a byte stream that arrives in chunks, without I/O and without assembling
+//! the messages.
 
-use crate::call::PREFIX;
+use crate::call::PREFIX_LEN;
 use crate::error::CallError;
 
-/// Bounds on what passes in one direction of a call, in bytes.
+/// Limits for one direction of a call, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyLimits {
-    /// One message.
+    /// Maximum size of one message.
     pub message_most: usize,
-    /// All messages together, with their prefixes.
+    /// Maximum size of all messages together, with their prefixes.
     pub body_most: u64,
 }
 
-/// Where in the messages of one direction the next byte falls.
+/// The parser's position in the messages of one direction.
 #[derive(Clone, Debug)]
 pub struct Framing {
     limits: BodyLimits,
-    prefix: [u8; PREFIX],
-    /// Bytes of the prefix that have come, and of the message that are still to come.
-    have: usize,
-    left: usize,
-    all: u64,
+    prefix: [u8; PREFIX_LEN],
+    /// Number of bytes of the current prefix that have arrived.
+    prefix_received: usize,
+    /// Number of bytes of the current message that are still to come.
+    message_remaining: usize,
+    /// Number of bytes received so far, prefixes included.
+    received: u64,
 }
 
 impl Framing {
+    /// Starts before the first message.
     pub fn new(limits: BodyLimits) -> Self {
-        Framing { limits, prefix: [0; PREFIX], have: 0, left: 0, all: 0 }
+        Framing { limits, prefix: [0; PREFIX_LEN], prefix_received: 0, message_remaining: 0, received: 0 }
     }
 
+    /// The limits that are checked.
     pub fn limits(&self) -> BodyLimits {
         self.limits
     }
 
-    /// Takes the next piece; fails as soon as a message's prefix says that it will be too long.
-    pub fn take(&mut self, piece: &[u8]) -> Result<(), CallError> {
-        self.all += piece.len() as u64;
-        if self.all > self.limits.body_most {
+    /// Processes the next chunk. Fails as soon as a prefix announces a message that is too long.
+    pub fn check(&mut self, chunk: &[u8]) -> Result<(), CallError> {
+        self.received += chunk.len() as u64;
+        if self.received > self.limits.body_most {
             return Err(CallError::TooLarge {
-                size: self.all as usize,
+                size: self.received as usize,
                 most: self.limits.body_most as usize,
             });
         }
-        let mut rest = piece;
-        while !rest.is_empty() {
-            if self.left > 0 {
-                let step = self.left.min(rest.len());
-                self.left -= step;
-                rest = &rest[step..];
+        let mut remaining = chunk;
+        while !remaining.is_empty() {
+            if self.message_remaining > 0 {
+                let length = self.message_remaining.min(remaining.len());
+                self.message_remaining -= length;
+                remaining = &remaining[length..];
                 continue;
             }
-            let step = (PREFIX - self.have).min(rest.len());
-            self.prefix[self.have..self.have + step].copy_from_slice(&rest[..step]);
-            self.have += step;
-            rest = &rest[step..];
-            if self.have == PREFIX {
+            let length = (PREFIX_LEN - self.prefix_received).min(remaining.len());
+            self.prefix[self.prefix_received..self.prefix_received + length]
+                .copy_from_slice(&remaining[..length]);
+            self.prefix_received += length;
+            remaining = &remaining[length..];
+            if self.prefix_received == PREFIX_LEN {
                 let [compressed, size @ ..] = self.prefix;
                 if compressed > 1 {
                     return Err(CallError::Malformed("no gRPC message: its first byte is neither 0 nor 1"));
@@ -62,15 +68,15 @@
                 if size > self.limits.message_most {
                     return Err(CallError::TooLarge { size, most: self.limits.message_most });
                 }
-                (self.have, self.left) = (0, size);
+                (self.prefix_received, self.message_remaining) = (0, size);
             }
         }
         Ok(())
     }
 
-    /// Whether the direction may end here: between two messages.
-    pub fn whole(&self) -> bool {
-        self.have == 0 && self.left == 0
+    /// Whether the stream is between two messages, so that it may end here.
+    pub fn at_message_boundary(&self) -> bool {
+        self.prefix_received == 0 && self.message_remaining == 0
     }
 }
 
@@ -90,38 +96,38 @@
         bytes
     }
 
-    /// However messages are cut into pieces, the same is found, and at the same byte.
+    /// The chunk boundaries change neither the result nor the byte at which an error is detected.
     #[test]
-    fn messages_are_measured_however_they_are_cut() {
+    fn message_sizes_are_checked_regardless_of_chunk_boundaries() {
         for seed in 0..500 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let sizes: Vec<usize> = (0..6).map(|_| rng.random_range(0..110)).collect();
             let bytes: Vec<u8> = sizes.iter().flat_map(|size| message(*size)).collect();
             let bad = sizes.iter().position(|size| *size > 100);
             let known_at =
-                bad.map(|bad| sizes[..bad].iter().map(|size| size + PREFIX).sum::<usize>() + PREFIX);
+                bad.map(|bad| sizes[..bad].iter().map(|size| size + PREFIX_LEN).sum::<usize>() + PREFIX_LEN);
             let (mut framing, mut at) = (Framing::new(LIMITS), 0);
             while at < bytes.len() {
-                let step = rng.random_range(1..40).min(bytes.len() - at);
-                let result = framing.take(&bytes[at..at + step]);
-                at += step;
+                let length = rng.random_range(1..40).min(bytes.len() - at);
+                let result = framing.check(&bytes[at..at + length]);
+                at += length;
                 let found = known_at.is_some_and(|known| known <= at);
                 assert_eq!(result.is_err(), found, "seed {seed}, {sizes:?}, byte {at}");
                 if found {
                     break;
                 }
             }
-            assert!(bad.is_some() || framing.whole(), "seed {seed}");
+            assert!(bad.is_some() || framing.at_message_boundary(), "seed {seed}");
         }
     }
 
     #[test]
-    fn a_body_over_its_limit_and_what_is_no_message_are_refused() {
+    fn body_over_limit_and_invalid_prefix_are_rejected() {
         let mut framing = Framing::new(LIMITS);
-        let result: Result<(), _> = (0..30).try_for_each(|_| framing.take(&message(95)));
+        let result: Result<(), _> = (0..30).try_for_each(|_| framing.check(&message(95)));
         assert!(matches!(result, Err(CallError::TooLarge { size: 2100, most: 2000 })), "{result:?}");
-        assert!(matches!(Framing::new(LIMITS).take(b"hello"), Err(CallError::Malformed(_))));
-        let mut half = Framing::new(LIMITS);
-        assert!(half.take(&message(9)[..8]).is_ok() && !half.whole());
+        assert!(matches!(Framing::new(LIMITS).check(b"hello"), Err(CallError::Malformed(_))));
+        let mut partial = Framing::new(LIMITS);
+        assert!(partial.check(&message(9)[..8]).is_ok() && !partial.at_message_boundary());
     }
 }
--- a/crates/whinhill-transport/src/lib.rs
+++ b/crates/whinhill-transport/src/lib.rs
@@ -1,30 +1,30 @@
 //! gRPC on HTTP/2 over `std::net`, without an async runtime.
 //!
-//! A few [`Drivers`] threads turn all connections (the `h2` crate does the protocol, `mio` says which socket
-//! is ready); every call is used from an ordinary thread that blocks, with a time limit on each wait.
+//! A few [`Drivers`] threads poll all connections: the `h2` crate implements the protocol, and `mio` reports
+//! which sockets are ready. Calls are used from ordinary threads that block, with a timeout on each wait.
 //!
 //! ```no_run
 //! use std::time::Duration;
 //! use whinhill_transport::{Client, Drivers, Limits};
 //! let drivers = Drivers::start("example", 1)?;
 //! let client = Client::connect("127.0.0.1:7000".parse()?, Limits::default(), &drivers)?;
-//! let within = Duration::from_secs(1);
-//! let answer = client.unary("/grpc.health.v1.Health/Check", &[], Default::default(), within)?;
+//! let timeout = Duration::from_secs(1);
+//! let answer = client.unary("/grpc.health.v1.Health/Check", &[], Default::default(), timeout)?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! `docs/transport.md` weighs the ways and lists the limits.
+//! `docs/transport.md` discusses the design alternatives and lists the limits.
 
+mod blocking;
 mod call;
 mod connection;
 mod driver;
 mod error;
 mod framing;
 mod limits;
-mod park;
+mod polling;
 mod relay;
 mod socket;
-mod turning;
 mod workers;
 
 pub use call::{
@@ -34,6 +34,6 @@
 pub use error::{CallError, Code, NeverRan};
 pub use framing::BodyLimits;
 pub use limits::Limits;
+pub use polling::{Turn, CALL_STACK};
 pub use relay::{Answering, Passage, RelayError, Try};
-pub use turning::{Turn, CALL_STACK};
 pub use workers::{AllBusy, Workers};
--- a/crates/whinhill-transport/src/limits.rs
+++ b/crates/whinhill-transport/src/limits.rs
@@ -1,27 +1,27 @@
-//! What a peer may ask of us.
+//! Limits on what a peer may use.
 
 use std::time::Duration;
 
-/// Bounds on every connection and on all of them. Sizes in bytes.
+/// Limits for each connection and for a listener as a whole. Sizes are in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest gRPC message taken in.
+    /// Maximum size of a received gRPC message.
     pub message_most: usize,
-    /// All headers of a message together, as HTTP/2 counts them.
+    /// Maximum size of all headers of a message, as HTTP/2 counts them.
     pub headers_most: u32,
-    /// Streams that a peer may have open on a connection.
+    /// Maximum number of streams that a peer may have open on a connection.
     pub streams_most: u32,
-    /// Connections that a listener holds; further ones are closed at once.
+    /// Maximum number of connections of a listener; further ones are closed at once.
     pub connections_most: usize,
-    /// From the accepted or opened socket to the peer's settings.
+    /// Time limit from the accepted or connected socket until the peer's SETTINGS frame.
     pub handshake: Duration,
-    /// A connection without streams is closed after this.
+    /// A connection without streams is closed after this time.
     pub idle: Duration,
-    /// A ping goes out when nothing was read for this long.
+    /// A ping is sent when nothing was read for this time.
     pub keep_alive: Duration,
-    /// The ping must be answered within this.
+    /// Time limit for the answer to a ping.
     pub keep_alive_answer: Duration,
-    /// Flow-control window of a stream, and a sixteenth of a connection's.
+    /// Initial flow-control window of a stream; a connection's is sixteen times as large.
     pub window: u32,
 }
 
--- a/crates/whinhill-transport/src/relay.rs
+++ b/crates/whinhill-transport/src/relay.rs
@@ -1,9 +1,9 @@
-//! Passes a call on: what its client sends goes to a server, and the answer back, piece by piece, both ways at once,
-//! each at the pace of its slower end. One ordinary thread carries a call.
+//! Relays a call: sends a client's request to a server and the answer back, chunk by chunk, in both directions
+//! at once, each at the pace of its slower end. One ordinary thread relays a call.
 //!
-//! Nothing is put together on the way: a piece is taken from one side's window only when the other side had room for
-//! the one before, so a slow client or server holds up its own call alone. What was read of the request is kept while
-//! it is small, so that it can be sent once more.
+//! Messages are not assembled on the way: a chunk is taken from one side's window only when the other side has
+//! accepted the one before, so a slow client or server delays only its own call. The part of the request that
+//! was read is kept while it is small, so that another try can send it again.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -16,127 +16,129 @@
 use h2::{Reason, RecvStream, SendStream};
 use http::{response, HeaderMap, HeaderValue, Response, StatusCode};
 
-use crate::call::{read_status, status, Client, ServerCall, Trailers};
-use crate::connection::Counted;
+use crate::blocking::poll_until;
+use crate::call::{read_status, status_headers, Client, ServerCall, Trailers};
+use crate::connection::CountGuard;
 use crate::error::{CallError, Code};
 use crate::framing::{BodyLimits, Framing};
-use crate::park::wait;
-use crate::turning::Turn;
+use crate::polling::Turn;
 
-/// Why a call could not be passed on to its end.
+/// Why a call could not be relayed to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayError {
-    /// The server's side failed, or the time was over.
+    /// The server failed, or the time was up.
     #[error("{0}")]
     Server(CallError),
-    /// What the client sends can't be passed on.
+    /// The client's request is invalid or too large.
     #[error("the request: {0}")]
     Request(CallError),
-    /// The client has cancelled the call, or its connection is gone.
+    /// The client has cancelled the call or disconnected.
     #[error("the client has gone")]
     ClientGone,
-    /// Whoever passes it on wants it stopped.
+    /// The caller asked to stop.
     #[error("stopped")]
     Stopped,
 }
 
-/// What was read of a request. Pieces that were sent are kept for another try up to a bound, then let go.
-struct Spool {
-    pieces: VecDeque<Bytes>,
-    /// Pieces of `pieces` that this try has sent.
+/// The part of a request that was read. Chunks that were sent are kept for another try up to a limit, and
+/// discarded beyond it.
+struct RequestBuffer {
+    chunks: VecDeque<Bytes>,
+    /// Number of `chunks` that the current try has sent.
     sent: usize,
     bytes: usize,
-    keep_most: usize,
-    /// Something that was sent has been let go.
-    let_go: bool,
-    /// No more pieces come.
+    max_kept: usize,
+    /// A chunk that was sent has been discarded, so the request can't be sent again.
+    discarded: bool,
+    /// The request has been read to its end.
     ended: bool,
     trailers: Option<HeaderMap>,
-    /// Bytes taken from the client's window that were never sent yet.
-    owed: usize,
+    /// Bytes read from the client that no try has sent yet: their flow-control capacity is still to be released.
+    unreleased: usize,
     framing: Framing,
 }
 
-impl Spool {
-    fn new(limits: BodyLimits, keep_most: usize) -> Self {
-        Spool {
-            pieces: VecDeque::new(),
+impl RequestBuffer {
+    fn new(limits: BodyLimits, max_kept: usize) -> Self {
+        RequestBuffer {
+            chunks: VecDeque::new(),
             sent: 0,
             bytes: 0,
-            keep_most,
-            let_go: false,
+            max_kept,
+            discarded: false,
             ended: false,
             trailers: None,
-            owed: 0,
+            unreleased: 0,
             framing: Framing::new(limits),
         }
     }
 
-    fn push(&mut self, piece: Bytes) {
-        self.bytes += piece.len();
-        self.owed += piece.len();
-        self.pieces.push_back(piece);
+    fn push(&mut self, chunk: Bytes) {
+        self.bytes += chunk.len();
+        self.unreleased += chunk.len();
+        self.chunks.push_back(chunk);
     }
 
     fn unsent(&self) -> Option<&Bytes> {
-        self.pieces.get(self.sent)
+        self.chunks.get(self.sent)
     }
 
-    /// Takes up to `most` bytes of the next piece as sent.
-    fn send(&mut self, most: usize) -> Bytes {
-        let Some(piece) = self.pieces.get_mut(self.sent) else { return Bytes::new() };
-        let part = piece.split_to(most.min(piece.len()));
-        if piece.is_empty() {
-            *piece = part.clone();
+    /// Takes up to `max` bytes of the next chunk and counts them as sent.
+    fn send(&mut self, max: usize) -> Bytes {
+        let Some(chunk) = self.chunks.get_mut(self.sent) else { return Bytes::new() };
+        let part = chunk.split_to(max.min(chunk.len()));
+        if chunk.is_empty() {
+            *chunk = part.clone();
         } else {
-            self.pieces.insert(self.sent, part.clone());
+            self.chunks.insert(self.sent, part.clone());
         }
         self.sent += 1;
-        if self.let_go || self.bytes > self.keep_most {
-            self.let_go = true;
-            self.bytes -= self.pieces.drain(..self.sent).map(|piece| piece.len()).sum::<usize>();
+        if self.discarded || self.bytes > self.max_kept {
+            self.discarded = true;
+            self.bytes -= self.chunks.drain(..self.sent).map(|chunk| chunk.len()).sum::<usize>();
             self.sent = 0;
         }
         part
     }
 
-    /// Back to the request's first byte; false if that has been let go.
+    /// Goes back to the first byte of the request; false if that has been discarded.
     fn rewind(&mut self) -> bool {
-        if !self.let_go {
+        if !self.discarded {
             self.sent = 0;
         }
-        !self.let_go
+        !self.discarded
     }
 }
 
-/// A call that came in and is being passed on. It gets one answer: once one has begun, others say nothing.
+/// An incoming call that is being relayed. It gets one answer: once one has begun, further ones are ignored.
 pub struct Passage {
     call: ServerCall,
-    spool: Spool,
+    buffer: RequestBuffer,
     answered: bool,
 }
 
-/// One try of a passage at a server, until the head of its answer.
+/// One try of a relayed call at a server, until the head of its answer.
 pub struct Try {
-    up: SendStream<Bytes>,
+    request_stream: SendStream<Bytes>,
     future: ResponseFuture,
     client: Client,
-    /// The request's end was sent.
-    done: bool,
-    counted: Counted,
+    /// The request was sent to its end.
+    request_sent: bool,
+    count_guard: CountGuard,
 }
 
 /// A try whose answer has begun.
 pub struct Answering {
+    /// The head of the answer.
     pub head: response::Parts,
-    up: SendStream<Bytes>,
-    done: bool,
-    down: RecvStream,
-    _counted: Counted,
+    request_stream: SendStream<Bytes>,
+    request_sent: bool,
+    response_body: RecvStream,
+    _count_guard: CountGuard,
 }
 
 impl Answering {
-    /// The status, where the head is all there is of the answer.
+    /// The status, where the answer consists of its head alone.
     pub fn status(&self) -> Result<Option<Code>, CallError> {
         if self.head.status != StatusCode::OK {
             return Err(CallError::Malformed("the HTTP status is not 200"));
@@ -146,121 +148,125 @@
 }
 
 impl Client {
-    /// Opens a try. Until this returns nothing was sent.
-    pub fn open(&self, path: &str, headers: HeaderMap, within: Duration) -> Result<Try, CallError> {
-        let (stream, future, counted) = self.begin(path, headers, within)?;
-        Ok(Try { up: stream, future, client: self.clone(), done: false, counted })
+    /// Opens a try. Nothing is sent before this returns.
+    pub fn open(&self, path: &str, headers: HeaderMap, timeout: Duration) -> Result<Try, CallError> {
+        let (stream, future, count_guard) = self.begin(path, headers, timeout)?;
+        Ok(Try { request_stream: stream, future, client: self.clone(), request_sent: false, count_guard })
     }
 }
 
 impl Try {
     fn fail(&mut self, error: RelayError) -> RelayError {
-        self.up.send_reset(Reason::CANCEL);
+        self.request_stream.send_reset(Reason::CANCEL);
         error
     }
 }
 
 impl Passage {
-    /// `keep_most` bytes of the request are kept for another try.
-    pub fn new(call: ServerCall, limits: BodyLimits, keep_most: usize) -> Self {
-        let spool = Spool::new(limits, keep_most);
-        Passage { call, spool, answered: false }
+    /// At most `max_kept` bytes of the request are kept for another try.
+    pub fn new(call: ServerCall, limits: BodyLimits, max_kept: usize) -> Self {
+        let buffer = RequestBuffer::new(limits, max_kept);
+        Passage { call, buffer, answered: false }
     }
 
+    /// The incoming call.
     pub fn call(&self) -> &ServerCall {
         &self.call
     }
 
-    /// Whether the client has cancelled it or gone away.
+    /// Whether the client has cancelled the call or disconnected.
     pub fn cancelled(&mut self) -> bool {
         self.call.cancelled()
     }
 
-    /// Whether the request can be sent once more from its first byte.
+    /// Whether the request can be sent again from its first byte.
     pub fn whole(&self) -> bool {
-        !self.spool.let_go
+        !self.buffer.discarded
     }
 
-    /// Answers with a status alone.
+    /// Answers with a status only.
     pub fn refuse(&mut self, code: Code, message: &str, extra: Trailers) {
-        self.answer_alone(status(code, message, extra));
+        self.answer_alone(status_headers(code, message, extra));
     }
 
-    /// Answers with a head that is all there is of the answer: a server's own, for one.
+    /// Answers with a head only, for example one that a server sent.
     pub fn answer_alone(&mut self, head: HeaderMap) {
         if !std::mem::replace(&mut self.answered, true) {
             self.call.answer_alone(StatusCode::OK, head);
         }
     }
 
-    /// Sends the request on, from its first byte, until the head of the answer is there. `stop` is asked whenever
-    /// the thread is woken; who wants to stop it sets what it reads and unparks the thread.
+    /// Sends the request from its first byte until the head of the answer arrives. `stop` is evaluated whenever
+    /// the thread is woken: to stop the try, change what `stop` reads and unpark the thread.
     pub fn until_head(
         &mut self,
         mut attempt: Try,
-        until: Instant,
-        within: Duration,
+        deadline: Instant,
+        timeout: Duration,
         stop: impl Fn() -> bool,
     ) -> Result<Answering, RelayError> {
         let _turn = Turn::begin();
-        self.spool.rewind();
-        let met = wait(until, |cx| {
+        self.buffer.rewind();
+        let result = poll_until(deadline, |cx| {
             if stop() {
                 return Poll::Ready(Err(RelayError::Stopped));
             }
-            if self.call.poll_gone(cx) {
+            if self.call.poll_client_gone(cx) {
                 return Poll::Ready(Err(RelayError::ClientGone));
             }
-            // The answer first: one that is there when the time ends counts.
+            // The answer is polled first: one that is there when the time ends counts.
             if let Poll::Ready(head) = Pin::new(&mut attempt.future).poll(cx) {
                 return Poll::Ready(head.map_err(|error| RelayError::Server(attempt.client.failed(error))));
             }
-            match self.pump_up(&mut attempt.up, &mut attempt.done, cx) {
+            match self.forward_request(&mut attempt.request_stream, &mut attempt.request_sent, cx) {
                 Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
                 Poll::Ready(Ok(())) | Poll::Pending => Poll::Pending,
             }
         });
-        match met {
-            None => Err(attempt.fail(RelayError::Server(CallError::Deadline(within)))),
+        match result {
+            None => Err(attempt.fail(RelayError::Server(CallError::Deadline(timeout)))),
             Some(Err(error)) => Err(attempt.fail(error)),
             Some(Ok(response)) => {
-                let (head, down) = response.into_parts();
-                let Try { up, done, counted, .. } = attempt;
-                Ok(Answering { head, up, done, down, _counted: counted })
+                let (head, response_body) = response.into_parts();
+                let Try { request_stream, request_sent, count_guard, .. } = attempt;
+                Ok(Answering { head, request_stream, request_sent, response_body, _count_guard: count_guard })
             }
         }
     }
 
-    /// Passes the answer on, and what is left of the request. `head` is what the client gets as the answer's head,
-    /// `mend` may add to its trailers. What the answer's own status was comes back; where the answer broke off the
-    /// client has been told so.
+    /// Relays the answer, and the rest of the request. `head` is the head that the client gets, and `edit_trailers` may
+    /// add to the trailers. Returns the server's status and its unchanged trailers. If the answer ends early,
+    /// the client is sent trailers with an error status, and the error is returned.
     pub fn answer(
         &mut self,
         mut from: Answering,
         head: HeaderMap,
-        until: Instant,
-        within: Duration,
-        mend: impl FnOnce(&mut Trailers),
+        deadline: Instant,
+        timeout: Duration,
+        edit_trailers: impl FnOnce(&mut Trailers),
     ) -> Result<(Code, Trailers), RelayError> {
         let _turn = Turn::begin();
         self.answered = true;
         let mut response = Response::new(());
         *response.headers_mut() = head;
         let mut to = self.call.respond_with(response).map_err(|_| RelayError::ClientGone)?;
-        let mut framing = Framing::new(self.spool.framing.limits());
-        let mut held = Bytes::new();
-        let met = wait(until, |cx| {
+        let mut framing = Framing::new(self.buffer.framing.limits());
+        let mut unsent_chunk = Bytes::new();
+        let result = poll_until(deadline, |cx| {
             if matches!(to.poll_reset(cx), Poll::Ready(_)) {
                 return Poll::Ready(Err(RelayError::ClientGone));
             }
-            // A request that can't be passed on to its end is no matter to the client once it is being answered.
-            if let Poll::Ready(Err(error)) = self.pump_up(&mut from.up, &mut from.done, cx) {
+            // Once the answer has begun, only an error of the request itself ends the call; a request that the
+            // server no longer accepts does not concern the client.
+            if let Poll::Ready(Err(error)) =
+                self.forward_request(&mut from.request_stream, &mut from.request_sent, cx)
+            {
                 return Poll::Ready(Err(error));
             }
-            pump_down(&mut from.down, &mut to, &mut held, &mut framing, cx)
+            forward_response(&mut from.response_body, &mut to, &mut unsent_chunk, &mut framing, cx)
         });
-        let ended = match met {
-            None => Err(RelayError::Server(CallError::Deadline(within))),
+        let outcome = match result {
+            None => Err(RelayError::Server(CallError::Deadline(timeout))),
             Some(Err(error)) => Err(error),
             Some(Ok(trailers)) => match read_status(&trailers) {
                 Ok(Some(code)) => Ok((code, trailers)),
@@ -268,16 +274,16 @@
                 Err(error) => Err(RelayError::Server(error)),
             },
         };
-        if ended.is_err() || !from.done {
-            // Cancellation is carried on; after a whole answer the rest of the request is wanted by nobody.
-            from.up.send_reset(Reason::CANCEL);
+        if outcome.is_err() || !from.request_sent {
+            // Passes a cancellation on. After a complete answer nobody needs the rest of the request.
+            from.request_stream.send_reset(Reason::CANCEL);
         }
-        match ended {
+        match outcome {
             Ok((code, trailers)) => {
-                let mut mended = trailers.clone();
-                mend(&mut mended);
-                // The client may have gone just now; the answer was whole all the same.
-                let _ = to.send_trailers(mended);
+                let mut edited = trailers.clone();
+                edit_trailers(&mut edited);
+                // The client may have disconnected just now; the answer was complete all the same.
+                let _ = to.send_trailers(edited);
                 Ok((code, trailers))
             }
             Err(error) => {
@@ -286,67 +292,70 @@
                     RelayError::Request(_) => Code::ResourceExhausted,
                     _ => Code::Unavailable,
                 };
-                let _ = to.send_trailers(status(code, &format!("broken off: {error}"), Trailers::new()));
+                let _ =
+                    to.send_trailers(status_headers(code, &format!("broken off: {error}"), Trailers::new()));
                 Err(error)
             }
         }
     }
 
-    /// Sends on what there is of the request, as far as both windows allow. Ready once its end was sent.
-    fn pump_up(
+    /// Sends the available part of the request, as far as both windows allow. Ready once its end was sent.
+    fn forward_request(
         &mut self,
-        up: &mut SendStream<Bytes>,
-        done: &mut bool,
+        request_stream: &mut SendStream<Bytes>,
+        request_sent: &mut bool,
         cx: &mut Context<'_>,
     ) -> Poll<Result<(), RelayError>> {
-        while !*done {
-            if let Some(piece) = self.spool.unsent() {
-                up.reserve_capacity(piece.len());
-                if up.capacity() == 0 {
-                    match up.poll_capacity(cx) {
+        while !*request_sent {
+            if let Some(chunk) = self.buffer.unsent() {
+                request_stream.reserve_capacity(chunk.len());
+                if request_stream.capacity() == 0 {
+                    match request_stream.poll_capacity(cx) {
                         Poll::Pending => return Poll::Pending,
                         Poll::Ready(Some(Ok(_))) => continue,
-                        // The answer's side tells how the server ended it.
+                        // The answer tells how the server ended the call.
                         Poll::Ready(Some(Err(_)) | None) => return Poll::Pending,
                     }
                 }
-                let part = self.spool.send(up.capacity());
-                let first_sent = part.len().min(self.spool.owed);
-                self.spool.owed -= first_sent;
-                *done = self.spool.unsent().is_none() && self.spool.ended && self.spool.trailers.is_none();
-                if up.send_data(part, *done).is_err() {
+                let part = self.buffer.send(request_stream.capacity());
+                let newly_sent = part.len().min(self.buffer.unreleased);
+                self.buffer.unreleased -= newly_sent;
+                *request_sent =
+                    self.buffer.unsent().is_none() && self.buffer.ended && self.buffer.trailers.is_none();
+                if request_stream.send_data(part, *request_sent).is_err() {
                     return Poll::Pending;
                 }
                 // Only now may the client send more.
-                self.call.release(first_sent);
-            } else if self.spool.ended {
-                *done = true;
-                let _ = match &self.spool.trailers {
-                    Some(trailers) => up.send_trailers(trailers.clone()),
-                    None => up.send_data(Bytes::new(), true),
+                self.call.release(newly_sent);
+            } else if self.buffer.ended {
+                *request_sent = true;
+                let _ = match &self.buffer.trailers {
+                    Some(trailers) => request_stream.send_trailers(trailers.clone()),
+                    None => request_stream.send_data(Bytes::new(), true),
                 };
             } else {
-                match self.call.poll_piece(cx) {
+                match self.call.poll_chunk(cx) {
                     Poll::Pending => return Poll::Pending,
-                    Poll::Ready(Some(Ok(piece))) => {
-                        self.spool.framing.take(&piece).map_err(RelayError::Request)?;
-                        // An empty one, as ends may come in, would wait for room that nobody has to make.
-                        if !piece.is_empty() {
-                            self.spool.push(piece);
+                    Poll::Ready(Some(Ok(chunk))) => {
+                        self.buffer.framing.check(&chunk).map_err(RelayError::Request)?;
+                        // An empty chunk, which may mark the end of the stream, is dropped: it would wait for
+                        // window capacity that nothing grants.
+                        if !chunk.is_empty() {
+                            self.buffer.push(chunk);
                         }
-                        self.spool.ended = self.call.body_ended();
-                        if self.spool.ended && !self.spool.framing.whole() {
-                            return Poll::Ready(Err(cut_short()));
+                        self.buffer.ended = self.call.body_ended();
+                        if self.buffer.ended && !self.buffer.framing.at_message_boundary() {
+                            return Poll::Ready(Err(truncated_request()));
                         }
                     }
                     Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(RelayError::ClientGone)),
                     Poll::Ready(None) => match self.call.poll_trailers(cx) {
                         Poll::Pending => return Poll::Pending,
                         Poll::Ready(trailers) => {
-                            if !self.spool.framing.whole() {
-                                return Poll::Ready(Err(cut_short()));
+                            if !self.buffer.framing.at_message_boundary() {
+                                return Poll::Ready(Err(truncated_request()));
                             }
-                            (self.spool.ended, self.spool.trailers) = (true, trailers);
+                            (self.buffer.ended, self.buffer.trailers) = (true, trailers);
                         }
                     },
                 }
@@ -356,22 +365,22 @@
     }
 }
 
-fn cut_short() -> RelayError {
+fn truncated_request() -> RelayError {
     RelayError::Request(CallError::Malformed("it ends within a message"))
 }
 
-/// Passes pieces of the answer on as far as the client's window allows. Ready with the trailers at its end.
-fn pump_down(
-    down: &mut RecvStream,
+/// Relays chunks of the answer as far as the client's window allows. Ready with the trailers at its end.
+fn forward_response(
+    response_body: &mut RecvStream,
     to: &mut SendStream<Bytes>,
-    held: &mut Bytes,
+    unsent_chunk: &mut Bytes,
     framing: &mut Framing,
     cx: &mut Context<'_>,
 ) -> Poll<Result<Trailers, RelayError>> {
-    let server = |error| RelayError::Server(CallError::broken(error));
+    let server = |error| RelayError::Server(CallError::from_h2_after_head(error));
     loop {
-        while !held.is_empty() {
-            to.reserve_capacity(held.len());
+        while !unsent_chunk.is_empty() {
+            to.reserve_capacity(unsent_chunk.len());
             if to.capacity() == 0 {
                 match to.poll_capacity(cx) {
                     Poll::Pending => return Poll::Pending,
@@ -379,20 +388,20 @@
                     Poll::Ready(Some(Err(_)) | None) => return Poll::Ready(Err(RelayError::ClientGone)),
                 }
             }
-            let part = held.split_to(to.capacity().min(held.len()));
+            let part = unsent_chunk.split_to(to.capacity().min(unsent_chunk.len()));
             let size = part.len();
             to.send_data(part, false).map_err(|_| RelayError::ClientGone)?;
-            down.flow_control().release_capacity(size).map_err(server)?;
+            response_body.flow_control().release_capacity(size).map_err(server)?;
         }
-        match down.poll_data(cx) {
+        match response_body.poll_data(cx) {
             Poll::Pending => return Poll::Pending,
-            Poll::Ready(Some(Ok(piece))) => {
-                framing.take(&piece).map_err(RelayError::Server)?;
-                *held = piece;
+            Poll::Ready(Some(Ok(chunk))) => {
+                framing.check(&chunk).map_err(RelayError::Server)?;
+                *unsent_chunk = chunk;
             }
             Poll::Ready(Some(Err(error))) => return Poll::Ready(Err(server(error))),
             Poll::Ready(None) => {
-                return match down.poll_trailers(cx) {
+                return match response_body.poll_trailers(cx) {
                     Poll::Pending => Poll::Pending,
                     Poll::Ready(trailers) => {
                         Poll::Ready(trailers.map(Option::unwrap_or_default).map_err(server))
@@ -404,11 +413,11 @@
 }
 
 impl ServerCall {
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> bool {
+    fn poll_client_gone(&mut self, cx: &mut Context<'_>) -> bool {
         matches!(self.respond.poll_reset(cx), Poll::Ready(_))
     }
 
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, h2::Error>>> {
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, h2::Error>>> {
         self.body.poll_data(cx)
     }
 
@@ -421,7 +430,7 @@
     }
 
     fn release(&mut self, bytes: usize) {
-        // It fails only where the stream has ended: then there is no window to open.
+        // This fails only where the stream has ended, which needs no more window.
         let _ = self.body.flow_control().release_capacity(bytes);
     }
 
@@ -429,11 +438,12 @@
         self.respond.send_response(response, false)
     }
 
-    /// Answers in plain HTTP, for what is no gRPC.
+    /// Answers with a plain HTTP status, for requests that are not gRPC.
     pub fn refuse_http(mut self, code: StatusCode) {
         self.answer_alone(code, HeaderMap::new());
     }
 
+    /// Answers with a head that ends the stream.
     pub(crate) fn answer_alone(&mut self, code: StatusCode, mut headers: HeaderMap) {
         let _turn = Turn::begin();
         if code == StatusCode::OK {
@@ -441,7 +451,7 @@
         }
         let mut response = Response::new(());
         (*response.status_mut(), *response.headers_mut()) = (code, headers);
-        // The client may have gone.
+        // The client may have disconnected.
         let _ = self.respond.send_response(response, true);
     }
 }
@@ -450,44 +460,44 @@
 mod tests {
     use super::*;
 
-    fn spool(keep_most: usize) -> Spool {
-        Spool::new(BodyLimits { message_most: 1 << 20, body_most: 1 << 20 }, keep_most)
+    fn buffer_keeping(max_kept: usize) -> RequestBuffer {
+        RequestBuffer::new(BodyLimits { message_most: 1 << 20, body_most: 1 << 20 }, max_kept)
     }
 
-    fn drain(spool: &mut Spool, step: usize) -> Vec<u8> {
+    fn drain(buffer: &mut RequestBuffer, step: usize) -> Vec<u8> {
         let mut out = Vec::new();
-        while spool.unsent().is_some() {
-            out.extend(spool.send(step));
+        while buffer.unsent().is_some() {
+            out.extend(buffer.send(step));
         }
         out
     }
 
     #[test]
-    fn a_small_request_is_sent_again_whole_however_it_was_cut() {
-        let mut spool = spool(20);
-        spool.push(Bytes::from_static(b"hello "));
-        spool.push(Bytes::from_static(b"world"));
+    fn small_request_can_be_resent_whole_regardless_of_chunk_sizes() {
+        let mut buffer = buffer_keeping(20);
+        buffer.push(Bytes::from_static(b"hello "));
+        buffer.push(Bytes::from_static(b"world"));
         for step in [1, 4, 100] {
-            assert_eq!(drain(&mut spool, step), b"hello world");
-            assert!(spool.rewind());
+            assert_eq!(drain(&mut buffer, step), b"hello world");
+            assert!(buffer.rewind());
         }
-        // Cut short in the middle of a piece, it begins anew all the same.
-        assert_eq!(&spool.send(3)[..], b"h");
-        assert!(spool.rewind());
-        assert_eq!(drain(&mut spool, 5), b"hello world");
+        // Rewinding in the middle of a chunk starts from the beginning too.
+        assert_eq!(&buffer.send(3)[..], b"h");
+        assert!(buffer.rewind());
+        assert_eq!(drain(&mut buffer, 5), b"hello world");
     }
 
     #[test]
-    fn a_large_request_is_let_go_as_it_is_sent_and_can_not_be_sent_again() {
-        let mut spool = spool(8);
-        spool.push(Bytes::from_static(b"hello "));
-        assert_eq!(drain(&mut spool, 100), b"hello ");
-        assert!(spool.rewind());
-        spool.push(Bytes::from_static(b"world"));
-        assert_eq!(drain(&mut spool, 4), b"hello world");
-        assert_eq!((spool.bytes, spool.pieces.len(), spool.rewind()), (0, 0, false));
-        spool.push(Bytes::from_static(b"!"));
-        assert_eq!(drain(&mut spool, 100), b"!");
-        assert_eq!(spool.bytes, 0);
+    fn large_request_is_discarded_as_it_is_sent_and_can_not_be_resent() {
+        let mut buffer = buffer_keeping(8);
+        buffer.push(Bytes::from_static(b"hello "));
+        assert_eq!(drain(&mut buffer, 100), b"hello ");
+        assert!(buffer.rewind());
+        buffer.push(Bytes::from_static(b"world"));
+        assert_eq!(drain(&mut buffer, 4), b"hello world");
+        assert_eq!((buffer.bytes, buffer.chunks.len(), buffer.rewind()), (0, 0, false));
+        buffer.push(Bytes::from_static(b"!"));
+        assert_eq!(drain(&mut buffer, 100), b"!");
+        assert_eq!(buffer.bytes, 0);
     }
 }
--- a/crates/whinhill-transport/src/socket.rs
+++ b/crates/whinhill-transport/src/socket.rs
@@ -1,7 +1,8 @@
-//! A non-blocking socket in the shape that `h2` asks for.
+//! A non-blocking socket with the I/O traits that `h2` requires.
 //!
-//! A write never blocks: what the socket does not take stays in `h2`, which bounds it by flow control, and the
-//! connection goes on reading meanwhile. So two ends can't both stand in a write.
+//! A write never blocks: data that the socket does not accept stays in `h2`, which bounds it by flow control,
+//! and the connection goes on reading meanwhile. So two peers can't deadlock with both of them blocked in a
+//! write.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -16,8 +17,9 @@
 
 use whinhill_errors::is_short_of_memory;
 
-/// What can carry a connection: a plain socket today, TLS over one later.
+/// A byte stream that can carry a connection: a plain socket now, possibly TLS later.
 pub trait Wire: Read + Write + Send {
+    /// The socket that carries the stream.
     fn socket(&self) -> &TcpStream;
 }
 
@@ -27,32 +29,36 @@
     }
 }
 
+/// A non-blocking socket as `AsyncRead` and `AsyncWrite`.
 pub struct Socket {
     wire: Box<dyn Wire>,
-    /// Counts reads that brought something, for the connection's idea of a silent peer.
-    reads: Arc<AtomicU64>,
-    severed: Arc<AtomicBool>,
+    /// Number of reads that returned data; the connection derives from it how long the peer has been silent.
+    read_count: Arc<AtomicU64>,
+    /// The socket is to be closed abortively.
+    aborted: Arc<AtomicBool>,
 }
 
 impl Socket {
-    pub fn new(wire: Box<dyn Wire>, reads: Arc<AtomicU64>, severed: Arc<AtomicBool>) -> Self {
-        Socket { wire, reads, severed }
+    /// `read_count` counts the reads that return data; with `aborted` set, dropping the socket closes it
+    /// abortively.
+    pub fn new(wire: Box<dyn Wire>, read_count: Arc<AtomicU64>, aborted: Arc<AtomicBool>) -> Self {
+        Socket { wire, read_count, aborted }
     }
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        if self.severed.load(Ordering::Relaxed) {
-            // An ordinary close leaves what was written to the system, which goes on trying to deliver it for
-            // minutes. An abortive one drops it: nothing of a severed connection may arrive later.
+        if self.aborted.load(Ordering::Relaxed) {
+            // After an ordinary close the system goes on trying to deliver written data for minutes. An abortive
+            // close discards it: nothing of an aborted connection may arrive later.
             let _ = set_socket_linger(self.wire.socket(), Some(Duration::ZERO));
         }
     }
 }
 
-/// What would block, or falls short of memory or buffers, is made again: on the next event, or with the driver's next
-/// tick, which turns every connection.
-fn ready<T>(result: io::Result<T>) -> Poll<io::Result<T>> {
+/// Maps errors that pass by themselves (would block, short of memory or buffers) to `Pending`. The operation is
+/// retried on the next event or the driver's next tick, which polls every connection.
+fn pending_if_transient<T>(result: io::Result<T>) -> Poll<io::Result<T>> {
     match result {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_short_of_memory(&error) => {
             Poll::Pending
@@ -61,9 +67,10 @@
     }
 }
 
-fn retry<T>(mut act: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats an operation while a signal interrupts it.
+fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
-        match act() {
+        match operation() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             other => return other,
         }
@@ -76,29 +83,29 @@
         _: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Readiness is edge-triggered and the driver polls the whole connection on each event, so there is no
-        // waker to keep here.
-        let read = retry(|| self.wire.read(buf.initialize_unfilled()));
+        // Readiness is edge-triggered and the driver polls the whole connection on each event, so no waker has
+        // to be stored here.
+        let read = retry_interrupted(|| self.wire.read(buf.initialize_unfilled()));
         if matches!(read, Ok(count) if count > 0) {
-            self.reads.fetch_add(1, Ordering::Relaxed);
+            self.read_count.fetch_add(1, Ordering::Relaxed);
         }
-        ready(read.map(|count| buf.advance(count)))
+        pending_if_transient(read.map(|count| buf.advance(count)))
     }
 }
 
 impl AsyncWrite for Socket {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        ready(retry(|| self.wire.write(data)))
+        pending_if_transient(retry_interrupted(|| self.wire.write(data)))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready(retry(|| self.wire.flush()))
+        pending_if_transient(retry_interrupted(|| self.wire.flush()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         match self.wire.socket().shutdown(Shutdown::Write) {
             Err(error) if error.kind() == io::ErrorKind::NotConnected => Poll::Ready(Ok(())),
-            other => ready(other),
+            other => pending_if_transient(other),
         }
     }
 }
--- a/crates/whinhill-transport/src/workers.rs
+++ b/crates/whinhill-transport/src/workers.rs
@@ -1,4 +1,4 @@
-//! Threads for work that blocks: started as needed up to a bound, ended when idle.
+//! A bounded pool of threads for jobs that block. Threads are started as needed and end when idle.
 
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,52 +10,57 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-const IDLE: Duration = Duration::from_secs(5);
+/// A thread that has had no job for this time ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A bounded crowd of small-stack threads. A job that finds no thread and no room for one is given back.
+/// Handle to a bounded pool of threads. A job that finds neither an idle thread nor room for a new one is
+/// refused.
 #[derive(Clone)]
 pub struct Workers(Arc<Inner>);
 
 struct Inner {
     name: String,
     stack: usize,
-    most: usize,
+    max: usize,
     count: AtomicUsize,
     jobs: Sender<Job>,
-    taken: Receiver<Job>,
+    queue: Receiver<Job>,
 }
 
-/// All threads are busy.
+/// All threads of the pool are busy.
 #[derive(Debug, thiserror::Error)]
 #[error("{most} workers are busy")]
 pub struct AllBusy {
+    /// Maximum number of threads of the pool.
     pub most: usize,
 }
 
 impl Workers {
-    pub fn new(name: &str, most: usize, stack: usize) -> Self {
-        // Without a buffer a job is handed only to a thread that waits for one.
-        let (jobs, taken) = bounded(0);
+    /// A pool of at most `max` threads named `name`, each with `stack` bytes of stack.
+    pub fn new(name: &str, max: usize, stack: usize) -> Self {
+        // With a queue of capacity 0 a job is handed only to a thread that is waiting for one.
+        let (jobs, queue) = bounded(0);
         let count = AtomicUsize::new(0);
-        Workers(Arc::new(Inner { name: name.to_string(), stack, most, count, jobs, taken }))
+        Workers(Arc::new(Inner { name: name.to_string(), stack, max, count, jobs, queue }))
     }
 
+    /// Runs `job` on a thread of the pool, or fails at once if none is free.
     pub fn run(&self, job: impl FnOnce() + Send + 'static) -> Result<(), AllBusy> {
         let inner = &self.0;
         let job: Job = match inner.jobs.try_send(Box::new(job)) {
             Ok(()) => return Ok(()),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => job,
         };
-        let more = |now: usize| (now < inner.most).then_some(now + 1);
-        let busy = AllBusy { most: inner.most };
-        if inner.count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).is_err() {
+        let increment = |now: usize| (now < inner.max).then_some(now + 1);
+        let busy = AllBusy { most: inner.max };
+        if inner.count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).is_err() {
             return Err(busy);
         }
-        let (weak, taken) = (Arc::downgrade(inner), inner.taken.clone());
+        let (weak, queue) = (Arc::downgrade(inner), inner.queue.clone());
         let thread = thread::Builder::new().name(inner.name.clone()).stack_size(inner.stack);
         let started: io::Result<_> = thread.spawn(move || {
             job();
-            while let Ok(job) = taken.recv_timeout(IDLE) {
+            while let Ok(job) = queue.recv_timeout(IDLE_TIMEOUT) {
                 job();
             }
             if let Some(inner) = weak.upgrade() {
@@ -68,7 +73,7 @@
         })
     }
 
-    /// Hands `value` to a thread for `job`, or, where none is free, back to `full` at once.
+    /// Runs `job` with `value` on a thread of the pool; if none is free, calls `full` with it on this thread.
     pub fn hand<T: Send + 'static>(
         &self,
         value: T,
@@ -76,10 +81,10 @@
         full: impl FnOnce(T),
     ) {
         let slot = Arc::new(Mutex::new(Some(value)));
-        let handed = slot.clone();
+        let shared = slot.clone();
         let take = |slot: &Mutex<Option<T>>| slot.lock().unwrap_or_else(PoisonError::into_inner).take();
         let run = move || {
-            if let Some(value) = take(&handed) {
+            if let Some(value) = take(&shared) {
                 job(value);
             }
         };
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Threads that there are.
+    /// Number of threads that exist now.
     pub fn threads(&self) -> usize {
         self.0.count.load(Ordering::Relaxed)
     }
