--- a/crates/whinhill-transport/src/call.rs
+++ b/crates/whinhill-transport/src/call.rs
@@ -81,7 +81,7 @@
         let size =
             u32::from_be_bytes([self.buffer[1], self.buffer[2], self.buffer[3], self.buffer[4]]) as usize;
         if size > self.max_message {
-            return Err(CallError::TooLarge { size, most: self.max_message });
+            return Err(CallError::TooLarge { size, max: self.max_message });
         }
         if self.buffer.len() < PREFIX_LEN + size {
             return Ok(None);
@@ -241,7 +241,7 @@
             let Some(chunk) = chunk else { break };
             let chunk = chunk.map_err(|error| CallError::from_h2(error, true))?;
             if buffer.len() + chunk.len() > PREFIX_LEN + self.max_message {
-                return Err(CallError::TooLarge { size: buffer.len() + chunk.len(), most: self.max_message });
+                return Err(CallError::TooLarge { size: buffer.len() + chunk.len(), max: self.max_message });
             }
             buffer.extend_from_slice(&chunk);
             let released = self.body.flow_control().release_capacity(chunk.len());
@@ -391,7 +391,7 @@
 }
 
 /// A call whose answer has begun: its head, and the reader of its messages and trailers.
-pub struct Opened {
+pub struct StartedAnswer {
     /// The head of the answer.
     pub head: http::response::Parts,
     /// Reader of the answer's messages and trailers.
@@ -400,7 +400,7 @@
 
 impl PendingAnswer {
     /// Waits for the head of the answer. Fails if it holds an error status.
-    pub fn head(self, timeout: Duration) -> Result<Opened, CallError> {
+    pub fn head(self, timeout: Duration) -> Result<StartedAnswer, CallError> {
         let deadline = Instant::now() + timeout;
         let PendingAnswer { future, max_message, dead } = self;
         let answer = block_on(deadline, future).ok_or(CallError::Deadline(timeout))?;
@@ -415,7 +415,7 @@
             return Err(CallError::Malformed("the HTTP status is not 200"));
         }
         check_status(&head.headers)?;
-        Ok(Opened { head, reader: MessageReader { body, buffer: BytesMut::new(), max_message } })
+        Ok(StartedAnswer { head, reader: MessageReader { body, buffer: BytesMut::new(), max_message } })
     }
 }
 
@@ -484,7 +484,7 @@
     }
 
     /// Number of calls in flight.
-    pub fn streams(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         self.shared_state.streams.load(Ordering::Relaxed)
     }
 
--- a/crates/whinhill-transport/src/error.rs
+++ b/crates/whinhill-transport/src/error.rs
@@ -81,8 +81,8 @@
     Reset(String),
     #[error("status {}: {message}", code.number())]
     Status { code: Code, message: String },
-    #[error("a message of {size} bytes; {most} are allowed")]
-    TooLarge { size: usize, most: usize },
+    #[error("a message of {size} bytes; {max} are allowed")]
+    TooLarge { size: usize, max: usize },
     #[error("malformed: {0}")]
     Malformed(&'static str),
     #[error("{0}")]
--- a/crates/whinhill-transport/src/framing.rs
+++ b/crates/whinhill-transport/src/framing.rs
@@ -43,7 +43,7 @@
         if self.received > self.limits.body_most {
             return Err(CallError::TooLarge {
                 size: self.received as usize,
-                most: self.limits.body_most as usize,
+                max: self.limits.body_most as usize,
             });
         }
         let mut remaining = chunk;
@@ -66,7 +66,7 @@
                 }
                 let size = u32::from_be_bytes(size) as usize;
                 if size > self.limits.message_most {
-                    return Err(CallError::TooLarge { size, most: self.limits.message_most });
+                    return Err(CallError::TooLarge { size, max: self.limits.message_most });
                 }
                 (self.prefix_received, self.message_remaining) = (0, size);
             }
@@ -125,7 +125,7 @@
     fn body_over_limit_and_invalid_prefix_are_rejected() {
         let mut framing = Framing::new(LIMITS);
         let result: Result<(), _> = (0..30).try_for_each(|_| framing.check(&message(95)));
-        assert!(matches!(result, Err(CallError::TooLarge { size: 2100, most: 2000 })), "{result:?}");
+        assert!(matches!(result, Err(CallError::TooLarge { size: 2100, max: 2000 })), "{result:?}");
         assert!(matches!(Framing::new(LIMITS).check(b"hello"), Err(CallError::Malformed(_))));
         let mut partial = Framing::new(LIMITS);
         assert!(partial.check(&message(9)[..8]).is_ok() && !partial.at_message_boundary());
--- a/crates/whinhill-transport/src/lib.rs
+++ b/crates/whinhill-transport/src/lib.rs
@@ -28,7 +28,8 @@
 mod workers;
 
 pub use call::{
-    grpc_timeout, Client, Listener, MessageReader, MessageWriter, Opened, PendingAnswer, ServerCall, Trailers,
+    grpc_timeout, Client, Listener, MessageReader, MessageWriter, PendingAnswer, ServerCall, StartedAnswer,
+    Trailers,
 };
 pub use driver::Drivers;
 pub use error::{CallError, Code, NeverRan};
--- a/crates/whinhill-transport/src/workers.rs
+++ b/crates/whinhill-transport/src/workers.rs
@@ -29,10 +29,10 @@
 
 /// All threads of the pool are busy.
 #[derive(Debug, thiserror::Error)]
-#[error("{most} workers are busy")]
+#[error("{max} workers are busy")]
 pub struct AllBusy {
     /// Maximum number of threads of the pool.
-    pub most: usize,
+    pub max: usize,
 }
 
 impl Workers {
@@ -52,7 +52,7 @@
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => job,
         };
         let increment = |now: usize| (now < inner.max).then_some(now + 1);
-        let busy = AllBusy { most: inner.max };
+        let busy = AllBusy { max: inner.max };
         if inner.count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).is_err() {
             return Err(busy);
         }
--- a/crates/whinhill-xds/src/cache.rs
+++ b/crates/whinhill-xds/src/cache.rs
@@ -1,4 +1,4 @@
-//! What a control plane serves: the resources of one moment, each encoded once for all streams.
+//! The resources that a control plane serves at one moment, each encoded once for all streams.
 
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -11,8 +11,8 @@
 
 use crate::proto;
 
-/// The types of resource, in the order in which a change must be made so that nothing points into the void:
-/// clusters, their endpoints, listeners, their routes.
+/// The resource types, in the order in which a change must be made so that no reference dangles: clusters, their
+/// endpoints, listeners, their routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     Cluster,
@@ -22,8 +22,10 @@
 }
 
 impl Kind {
+    /// All types, in the order of changes.
     pub const ALL: [Kind; 4] = [Kind::Cluster, Kind::Endpoints, Kind::Listener, Kind::Route];
 
+    /// The type URL in messages.
     pub fn type_url(self) -> &'static str {
         match self {
             Kind::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -33,16 +35,19 @@
         }
     }
 
-    pub fn of_type_url(url: &str) -> Option<Self> {
+    /// The type with this type URL.
+    pub fn from_type_url(url: &str) -> Option<Self> {
         Kind::ALL.into_iter().find(|kind| kind.type_url() == url)
     }
 
-    /// Whether a state-of-the-world response names all there is, so that what it leaves out is gone.
-    pub fn whole(self) -> bool {
+    /// Whether a state-of-the-world response lists all resources of the type, so that those it omits are
+    /// removed.
+    pub fn lists_all_resources(self) -> bool {
         matches!(self, Kind::Cluster | Kind::Listener)
     }
 
-    pub(crate) fn place(self) -> usize {
+    /// Index in arrays of one element per type.
+    pub(crate) fn index(self) -> usize {
         self as usize
     }
 }
@@ -55,30 +60,31 @@
 pub struct Entry {
     pub version: Arc<str>,
     pub body: Bytes,
-    /// The client drops it unless it is renewed in this time.
+    /// Time after which the client drops the resource unless it is renewed.
     pub ttl: Option<Duration>,
 }
 
-/// An entry as it is kept: with its name, and its encoding in a reply, made once and shared by every stream.
+/// An entry in the cache, with its name and its encodings as a field of a reply, each made once and shared by
+/// all streams.
 #[derive(Debug)]
-pub struct Stored {
+pub struct CachedResource {
     kind: Kind,
     name: Arc<str>,
     entry: Entry,
-    frames: [OnceLock<Bytes>; 3],
+    encoded_fields: [OnceLock<Bytes>; 3],
 }
 
-/// The ways in which a reply carries a resource.
+/// The forms in which a reply carries a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Form {
     Incremental,
-    /// State of the world, as it is.
+    /// State of the world, without a wrapper.
     Plain,
     /// State of the world, in the wrapper that can carry a TTL.
     Wrapped,
 }
 
-impl Deref for Stored {
+impl Deref for CachedResource {
     type Target = Entry;
 
     fn deref(&self) -> &Entry {
@@ -86,18 +92,19 @@
     }
 }
 
-impl Stored {
+impl CachedResource {
+    /// The resource's name.
     pub fn name(&self) -> &Arc<str> {
         &self.name
     }
 
     /// The resource as one field of a reply.
-    pub(crate) fn frame(&self, form: Form) -> Bytes {
-        self.frames[form as usize].get_or_init(|| self.encode(form, true)).clone()
+    pub(crate) fn encoded_field(&self, form: Form) -> Bytes {
+        self.encoded_fields[form as usize].get_or_init(|| self.encode(form, true)).clone()
     }
 
-    /// The same without its body: it renews the TTL alone.
-    pub(crate) fn beat(&self, form: Form) -> Bytes {
+    /// The resource without its body, which only renews the TTL.
+    pub(crate) fn heartbeat_field(&self, form: Form) -> Bytes {
         self.encode(form, false)
     }
 
@@ -110,85 +117,93 @@
             ttl: self.ttl.map(proto::span),
         };
         match form {
-            Form::Incremental => field(&resource()),
-            Form::Plain => field(&any()),
-            Form::Wrapped => {
-                field(&proto::Any { type_url: WRAPPER_URL.to_string(), value: resource().encode_to_vec() })
-            }
+            Form::Incremental => encode_field(&resource()),
+            Form::Plain => encode_field(&any()),
+            Form::Wrapped => encode_field(&proto::Any {
+                type_url: WRAPPER_URL.to_string(),
+                value: resource().encode_to_vec(),
+            }),
         }
     }
 }
 
-/// Field 2 of a reply in either variant: one resource.
-fn field(message: &impl Message) -> Bytes {
+/// Encodes one resource as field 2 of a reply, which it is in both variants.
+fn encode_field(message: &impl Message) -> Bytes {
     let mut bytes = Vec::with_capacity(message.encoded_len() + 6);
     encode_key(2, WireType::LengthDelimited, &mut bytes);
     encode_varint(message.encoded_len() as u64, &mut bytes);
-    // A vector grows as far as it must.
+    // A vector grows as needed, so encoding can't fail for lack of space.
     bytes.extend(message.encode_to_vec());
     bytes.into()
 }
 
-/// All resources by type and name.
+/// All resources, by type and name.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
-    kinds: [BTreeMap<Arc<str>, Arc<Stored>>; 4],
+    kinds: [BTreeMap<Arc<str>, Arc<CachedResource>>; 4],
     revision: u64,
-    /// Counts changes of which names there are.
+    /// Counts additions and removals of names.
     names: u64,
 }
 
 impl Cache {
+    /// Adds or replaces a resource.
     pub fn set(&mut self, kind: Kind, name: impl AsRef<str>, entry: Entry) {
         self.revision += 1;
         let name = name.as_ref();
-        let kinds = &mut self.kinds[kind.place()];
-        let name = kinds.get(name).map_or_else(|| name.into(), |stored| stored.name.clone());
-        let stored = Stored { kind, name: Arc::clone(&name), entry, frames: Default::default() };
-        if kinds.insert(name, Arc::new(stored)).is_none() {
+        let kinds = &mut self.kinds[kind.index()];
+        let name = kinds.get(name).map_or_else(|| name.into(), |cached| cached.name.clone());
+        let cached =
+            CachedResource { kind, name: Arc::clone(&name), entry, encoded_fields: Default::default() };
+        if kinds.insert(name, Arc::new(cached)).is_none() {
             self.names += 1;
         }
     }
 
+    /// Removes a resource, if it is there.
     pub fn remove(&mut self, kind: Kind, name: &str) {
-        if self.kinds[kind.place()].remove(name).is_some() {
+        if self.kinds[kind.index()].remove(name).is_some() {
             self.revision += 1;
             self.names += 1;
         }
     }
 
-    pub fn get(&self, kind: Kind, name: &str) -> Option<&Arc<Stored>> {
-        self.kinds[kind.place()].get(name)
+    /// The resource with this name.
+    pub fn get(&self, kind: Kind, name: &str) -> Option<&Arc<CachedResource>> {
+        self.kinds[kind.index()].get(name)
     }
 
+    /// All names of a type, in order.
     pub fn names(&self, kind: Kind) -> impl Iterator<Item = &str> {
-        self.kinds[kind.place()].keys().map(|name| &**name)
+        self.kinds[kind.index()].keys().map(|name| &**name)
     }
 
     /// All entries of a type, by name.
-    pub fn all(&self, kind: Kind) -> impl Iterator<Item = &Arc<Stored>> {
-        self.kinds[kind.place()].values()
+    pub fn all(&self, kind: Kind) -> impl Iterator<Item = &Arc<CachedResource>> {
+        self.kinds[kind.index()].values()
     }
 
-    /// A name in the one copy that everyone shares.
-    pub(crate) fn shared(&self, kind: Kind, name: &str) -> Arc<str> {
-        self.get(kind, name).map_or_else(|| name.into(), |stored| stored.name.clone())
+    /// The shared copy of a name, or a new copy if there is no such resource.
+    pub(crate) fn shared_name(&self, kind: Kind, name: &str) -> Arc<str> {
+        self.get(kind, name).map_or_else(|| name.into(), |cached| cached.name.clone())
     }
 
+    /// Number of resources of a type.
     pub fn len(&self, kind: Kind) -> usize {
-        self.kinds[kind.place()].len()
+        self.kinds[kind.index()].len()
     }
 
+    /// Whether there are no resources at all.
     pub fn is_empty(&self) -> bool {
         self.kinds.iter().all(BTreeMap::is_empty)
     }
 
-    /// Grows with every change.
+    /// Increases with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Grows whenever a name comes or goes.
+    /// Increases whenever a name is added or removed.
     pub(crate) fn names_revision(&self) -> u64 {
         self.names
     }
--- a/crates/whinhill-xds/src/client.rs
+++ b/crates/whinhill-xds/src/client.rs
@@ -7,16 +7,16 @@
 use prost::Message;
 
 use crate::cache::{Kind, WRAPPER_URL};
-use crate::holding::{holding_hash, telling};
+use crate::holdings::{holdings_hash, node_with_hash};
 use crate::proto::{self, read_span, Any, DeltaDiscoveryRequest, DiscoveryRequest, Node, Status};
 use crate::{Request, Response, Variant};
 
-/// Says that the client reads wrapped resources in the state of the world, and so their TTLs.
+/// Node feature of a client that accepts wrapped resources in the state of the world, and so their TTLs.
 pub const FEATURE_WRAPPED: &str = "xds.config.resource-in-sotw";
-/// gRPC's INVALID_ARGUMENT, the code of a rejection.
-const INVALID: i32 = 3;
-/// A rejection's reason is cut to this many characters.
-const REASON_MOST: usize = 500;
+/// gRPC's INVALID_ARGUMENT, the status code of a NACK.
+const INVALID_ARGUMENT: i32 = 3;
+/// Maximum length of a NACK's reason, in characters; longer ones are cut.
+const MAX_REASON_CHARS: usize = 500;
 
 /// One resource of an update. Without a body it only renews the TTL.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,18 +27,21 @@
     pub body: Option<Bytes>,
 }
 
-/// A reply, taken apart. It counts only once [`ClientStream::accept`] has been called for it.
+/// A decoded reply. It takes effect only once [`ClientStream::accept`] has been called for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
     pub kind: Kind,
     pub nonce: String,
+    /// The version of the reply as a whole.
     pub set_version: String,
     pub resources: Vec<Received>,
+    /// Names of resources that no longer exist.
     pub removed: Vec<String>,
-    /// Why it can't be read; such an update must be rejected.
+    /// Why the reply can't be decoded; such an update must be rejected.
     pub fault: Option<String>,
 }
 
+/// Why a reply does not belong to the stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
     #[error("unknown resource type {0:?}")]
@@ -47,113 +50,124 @@
     WrongVariant,
 }
 
+/// Subscription and held versions of one resource type.
 #[derive(Debug, Default)]
-struct Topic {
+struct Subscription {
     wildcard: bool,
     names: BTreeSet<String>,
     versions: BTreeMap<String, String>,
     set_version: String,
     nonce: String,
-    asked: bool,
-    /// Updates taken since the number of what is held was last told.
-    untold: u32,
+    requested: bool,
+    /// Updates accepted since the hash of the held resources was last sent.
+    updates_since_hash: u32,
 }
 
-/// One client. It outlives its streams: [`ClientStream::open`] begins a new one with what is held.
+/// One client. It outlives its streams: [`ClientStream::open`] begins a new one with the versions that are held.
 #[derive(Debug)]
 pub struct ClientStream {
     variant: Variant,
     node: Node,
-    topics: [Topic; 4],
-    opened: bool,
-    tells: bool,
+    subscriptions: [Subscription; 4],
+    is_open: bool,
+    sends_hash: bool,
 }
 
-/// Updates after which an ACK tells what is held.
-const TELL_EVERY: u32 = 16;
+/// Number of accepted updates after which an ACK carries the hash of the held resources.
+const UPDATES_PER_HASH: u32 = 16;
 
 impl ClientStream {
+    /// A client that has no stream yet.
     pub fn new(variant: Variant, mut node: Node) -> Self {
         if variant == Variant::StateOfTheWorld && !node.client_features.iter().any(|f| f == FEATURE_WRAPPED) {
             node.client_features.push(FEATURE_WRAPPED.to_string());
         }
-        ClientStream { variant, node, topics: Default::default(), opened: false, tells: false }
+        ClientStream { variant, node, subscriptions: Default::default(), is_open: false, sends_hash: false }
     }
 
-    /// Has some ACKs tell the number of what is held (`holding.rs`), so that the other end can compare.
+    /// Makes some ACKs carry the hash of the held resources (`holdings.rs`), so that the control plane can
+    /// compare it.
     pub fn tell_holdings(&mut self) {
-        self.tells = true;
+        self.sends_hash = true;
     }
 
+    /// The variant of its streams.
     pub fn variant(&self) -> Variant {
         self.variant
     }
 
-    /// Sets what is wanted of a type before the stream is opened, or changes it on an open one. Returns the
-    /// request to send, if any.
+    /// Sets the subscription to a type, before the stream is opened or on an open one. Returns the request to
+    /// send, if any.
     pub fn subscribe(&mut self, kind: Kind, wildcard: bool, names: BTreeSet<String>) -> Option<Request> {
-        let topic = &mut self.topics[kind.place()];
-        let more: Vec<String> = names.difference(&topic.names).cloned().collect();
-        let less: Vec<String> = topic.names.difference(&names).cloned().collect();
-        if topic.asked && more.is_empty() && less.is_empty() && wildcard == topic.wildcard {
+        let subscription = &mut self.subscriptions[kind.index()];
+        let added: Vec<String> = names.difference(&subscription.names).cloned().collect();
+        let removed: Vec<String> = subscription.names.difference(&names).cloned().collect();
+        if subscription.requested
+            && added.is_empty()
+            && removed.is_empty()
+            && wildcard == subscription.wildcard
+        {
             return None;
         }
-        (topic.wildcard, topic.names) = (wildcard, names);
-        for name in &less {
-            topic.versions.remove(name);
+        (subscription.wildcard, subscription.names) = (wildcard, names);
+        for name in &removed {
+            subscription.versions.remove(name);
         }
-        if !self.opened {
+        if !self.is_open {
             return None;
         }
-        if !topic.asked {
-            return Some(self.first(kind));
+        if !subscription.requested {
+            return Some(self.first_request(kind));
         }
         Some(match self.variant {
             Variant::Incremental => Request::Incremental(DeltaDiscoveryRequest {
                 type_url: kind.type_url().to_string(),
-                resource_names_subscribe: more,
-                resource_names_unsubscribe: less,
+                resource_names_subscribe: added,
+                resource_names_unsubscribe: removed,
                 ..Default::default()
             }),
-            Variant::StateOfTheWorld => self.whole(kind, None),
+            Variant::StateOfTheWorld => self.full_request(kind, None),
         })
     }
 
-    /// Begins a new stream: the requests to send, each with the versions that are held.
+    /// Begins a new stream. Returns the requests to send, which carry the held versions.
     pub fn open(&mut self) -> Vec<Request> {
-        self.opened = true;
-        for topic in &mut self.topics {
-            (topic.asked, topic.nonce) = (false, String::new());
+        self.is_open = true;
+        for subscription in &mut self.subscriptions {
+            (subscription.requested, subscription.nonce) = (false, String::new());
         }
-        let wanted = |topic: &Topic| topic.wildcard || !topic.names.is_empty();
-        let kinds: Vec<Kind> = Kind::ALL.into_iter().filter(|k| wanted(&self.topics[k.place()])).collect();
-        kinds.into_iter().map(|kind| self.first(kind)).collect()
+        let is_subscribed =
+            |subscription: &Subscription| subscription.wildcard || !subscription.names.is_empty();
+        let kinds: Vec<Kind> =
+            Kind::ALL.into_iter().filter(|k| is_subscribed(&self.subscriptions[k.index()])).collect();
+        kinds.into_iter().map(|kind| self.first_request(kind)).collect()
     }
 
-    fn first(&mut self, kind: Kind) -> Request {
-        let topic = &mut self.topics[kind.place()];
-        topic.asked = true;
+    /// The first request of a type on a stream.
+    fn first_request(&mut self, kind: Kind) -> Request {
+        let subscription = &mut self.subscriptions[kind.index()];
+        subscription.requested = true;
         match self.variant {
             Variant::Incremental => {
-                let mut names: Vec<String> = topic.names.iter().cloned().collect();
-                names.extend(topic.wildcard.then(|| "*".to_string()));
+                let mut names: Vec<String> = subscription.names.iter().cloned().collect();
+                names.extend(subscription.wildcard.then(|| "*".to_string()));
                 Request::Incremental(DeltaDiscoveryRequest {
                     node: Some(self.node.clone()),
                     type_url: kind.type_url().to_string(),
                     resource_names_subscribe: names,
-                    initial_resource_versions: topic.versions.clone().into_iter().collect(),
+                    initial_resource_versions: subscription.versions.clone().into_iter().collect(),
                     ..Default::default()
                 })
             }
-            Variant::StateOfTheWorld => self.whole(kind, None),
+            Variant::StateOfTheWorld => self.full_request(kind, None),
         }
     }
 
-    /// Takes a reply apart. What can't be read is named in the update's `fault`.
+    /// Decodes a reply. What can't be decoded is named in the update's `fault`.
     pub fn hear(&mut self, response: &Response) -> Result<Update, UpdateError> {
         match (response, self.variant) {
             (Response::Incremental(reply), Variant::Incremental) => {
-                let kind = kind_of(&reply.type_url)?;
+                let kind = kind_from_url(&reply.type_url)?;
                 let mut update = Update {
                     kind,
                     nonce: reply.nonce.clone(),
@@ -162,12 +176,12 @@
                     removed: reply.removed_resources.clone(),
                     fault: None,
                 };
-                reply.resources.iter().for_each(|resource| take(&mut update, resource));
-                self.keep_wanted(&mut update);
+                reply.resources.iter().for_each(|resource| add_resource(&mut update, resource));
+                self.retain_subscribed(&mut update);
                 Ok(update)
             }
             (Response::StateOfTheWorld(reply), Variant::StateOfTheWorld) => {
-                let kind = kind_of(&reply.type_url)?;
+                let kind = kind_from_url(&reply.type_url)?;
                 let mut update = Update {
                     kind,
                     nonce: reply.nonce.clone(),
@@ -177,79 +191,84 @@
                     fault: None,
                 };
                 for any in &reply.resources {
-                    match unwrap(kind, any) {
+                    match decode_resource(kind, any) {
                         Ok(mut resource) => {
                             if resource.version.is_empty() {
                                 resource.version.clone_from(&reply.version_info);
                             }
-                            take(&mut update, &resource);
+                            add_resource(&mut update, &resource);
                         }
                         Err(fault) => update.fault = Some(fault),
                     }
                 }
-                let beats_only =
+                let only_heartbeats =
                     !update.resources.is_empty() && update.resources.iter().all(|r| r.body.is_none());
-                if kind.whole() && !beats_only {
-                    let named: BTreeSet<&str> = update.resources.iter().map(|r| r.name.as_str()).collect();
-                    let held = self.topics[kind.place()].versions.keys();
-                    update.removed = held.filter(|name| !named.contains(name.as_str())).cloned().collect();
+                if kind.lists_all_resources() && !only_heartbeats {
+                    let listed: BTreeSet<&str> = update.resources.iter().map(|r| r.name.as_str()).collect();
+                    let held = self.subscriptions[kind.index()].versions.keys();
+                    update.removed = held.filter(|name| !listed.contains(name.as_str())).cloned().collect();
                 }
-                self.keep_wanted(&mut update);
+                self.retain_subscribed(&mut update);
                 Ok(update)
             }
             _ => Err(UpdateError::WrongVariant),
         }
     }
 
-    /// A resource given up while it was on its way is none of ours: held, it would be named as known when a
-    /// later stream asks for it again.
-    fn keep_wanted(&self, update: &mut Update) {
-        let topic = &self.topics[update.kind.place()];
-        update.resources.retain(|resource| topic.wildcard || topic.names.contains(&resource.name));
+    /// Drops resources that were unsubscribed while they were in transit. If they were kept, a later stream that
+    /// subscribes again would report them as already held.
+    fn retain_subscribed(&self, update: &mut Update) {
+        let subscription = &self.subscriptions[update.kind.index()];
+        update
+            .resources
+            .retain(|resource| subscription.wildcard || subscription.names.contains(&resource.name));
     }
 
-    /// The update was applied: the ACK to send.
+    /// Records that the update was applied. Returns the ACK to send.
     pub fn accept(&mut self, update: &Update) -> Request {
-        let topic = &mut self.topics[update.kind.place()];
+        let subscription = &mut self.subscriptions[update.kind.index()];
         for resource in update.resources.iter().filter(|r| r.body.is_some()) {
-            topic.versions.insert(resource.name.clone(), resource.version.clone());
+            subscription.versions.insert(resource.name.clone(), resource.version.clone());
         }
-        update.removed.iter().for_each(|name| drop(topic.versions.remove(name)));
-        topic.set_version.clone_from(&update.set_version);
-        topic.untold += 1;
-        let tells = self.tells && update.kind == Kind::Endpoints && topic.untold >= TELL_EVERY;
-        let mut answer = self.answer(update, None);
-        if tells {
-            let topic = &mut self.topics[update.kind.place()];
-            topic.untold = 0;
-            let held = topic.versions.iter().map(|(name, version)| (name.as_str(), version.as_str()));
-            let node = Some(telling(&self.node.id, holding_hash(held)));
-            match &mut answer {
+        update.removed.iter().for_each(|name| drop(subscription.versions.remove(name)));
+        subscription.set_version.clone_from(&update.set_version);
+        subscription.updates_since_hash += 1;
+        let sends_hash = self.sends_hash
+            && update.kind == Kind::Endpoints
+            && subscription.updates_since_hash >= UPDATES_PER_HASH;
+        let mut ack = self.ack_request(update, None);
+        if sends_hash {
+            let subscription = &mut self.subscriptions[update.kind.index()];
+            subscription.updates_since_hash = 0;
+            let held = subscription.versions.iter().map(|(name, version)| (name.as_str(), version.as_str()));
+            let node = Some(node_with_hash(&self.node.id, holdings_hash(held)));
+            match &mut ack {
                 Request::Incremental(request) => request.node = node,
                 Request::StateOfTheWorld(request) => request.node = node,
             }
         }
-        answer
+        ack
     }
 
-    /// The update can't be used: the NACK to send. What was held stays.
+    /// Rejects an update; the held resources stay. Returns the NACK to send.
     pub fn reject(&mut self, update: &Update, reason: &str) -> Request {
-        let message = reason.chars().take(REASON_MOST).collect();
-        self.answer(update, Some(Status { code: INVALID, message }))
+        let message = reason.chars().take(MAX_REASON_CHARS).collect();
+        self.ack_request(update, Some(Status { code: INVALID_ARGUMENT, message }))
     }
 
-    /// The versions held of a type.
+    /// The held versions of a type, by name.
     pub fn versions(&self, kind: Kind) -> &BTreeMap<String, String> {
-        &self.topics[kind.place()].versions
+        &self.subscriptions[kind.index()].versions
     }
 
-    /// Forgets a resource whose TTL has ended, so that a new stream asks for it.
+    /// Forgets a resource whose TTL has expired, so that a new stream requests it.
     pub fn forget(&mut self, kind: Kind, name: &str) {
-        self.topics[kind.place()].versions.remove(name);
+        self.subscriptions[kind.index()].versions.remove(name);
     }
 
-    fn answer(&mut self, update: &Update, error_detail: Option<Status>) -> Request {
-        self.topics[update.kind.place()].nonce.clone_from(&update.nonce);
+    /// The ACK of an update or, with an error, the NACK.
+    fn ack_request(&mut self, update: &Update, error_detail: Option<Status>) -> Request {
+        self.subscriptions[update.kind.index()].nonce.clone_from(&update.nonce);
         match self.variant {
             Variant::Incremental => Request::Incremental(DeltaDiscoveryRequest {
                 type_url: update.kind.type_url().to_string(),
@@ -257,32 +276,34 @@
                 error_detail,
                 ..Default::default()
             }),
-            Variant::StateOfTheWorld => self.whole(update.kind, error_detail),
+            Variant::StateOfTheWorld => self.full_request(update.kind, error_detail),
         }
     }
 
-    fn whole(&self, kind: Kind, error_detail: Option<Status>) -> Request {
-        let topic = &self.topics[kind.place()];
-        let mut resource_names: Vec<String> = topic.names.iter().cloned().collect();
-        if topic.wildcard && !topic.names.is_empty() {
+    /// A state-of-the-world request with the whole subscription.
+    fn full_request(&self, kind: Kind, error_detail: Option<Status>) -> Request {
+        let subscription = &self.subscriptions[kind.index()];
+        let mut resource_names: Vec<String> = subscription.names.iter().cloned().collect();
+        if subscription.wildcard && !subscription.names.is_empty() {
             resource_names.push("*".to_string());
         }
         Request::StateOfTheWorld(DiscoveryRequest {
-            version_info: topic.set_version.clone(),
-            node: topic.nonce.is_empty().then(|| self.node.clone()),
+            version_info: subscription.set_version.clone(),
+            node: subscription.nonce.is_empty().then(|| self.node.clone()),
             resource_names,
             type_url: kind.type_url().to_string(),
-            response_nonce: topic.nonce.clone(),
+            response_nonce: subscription.nonce.clone(),
             error_detail,
         })
     }
 }
 
-fn kind_of(url: &str) -> Result<Kind, UpdateError> {
-    Kind::of_type_url(url).ok_or_else(|| UpdateError::UnknownType(url.chars().take(120).collect()))
+fn kind_from_url(url: &str) -> Result<Kind, UpdateError> {
+    Kind::from_type_url(url).ok_or_else(|| UpdateError::UnknownType(url.chars().take(120).collect()))
 }
 
-fn take(update: &mut Update, resource: &proto::Resource) {
+/// Adds a resource to an update, or the reason why it can't be decoded.
+fn add_resource(update: &mut Update, resource: &proto::Resource) {
     let ttl = match resource.ttl.as_ref().map(read_span) {
         Some(None) => {
             update.fault = Some(format!("{}: a TTL that is no span", resource.name));
@@ -303,8 +324,9 @@
     update.resources.push(Received { name, version, ttl, body });
 }
 
-/// Reads a resource of the state of the world, wrapped or plain; a plain one names itself.
-fn unwrap(kind: Kind, any: &Any) -> Result<proto::Resource, String> {
+/// Decodes a resource of the state of the world, wrapped or plain. The name of a plain one is read from its
+/// body.
+fn decode_resource(kind: Kind, any: &Any) -> Result<proto::Resource, String> {
     if any.type_url == WRAPPER_URL {
         return proto::Resource::decode(any.value.as_slice()).map_err(|error| format!("a resource: {error}"));
     }
--- a/crates/whinhill-xds/src/lib.rs
+++ b/crates/whinhill-xds/src/lib.rs
@@ -1,22 +1,22 @@
-//! xDS v3 by the public specification, both ends, without I/O.
+//! Both ends of xDS v3 by the public specification, without I/O.
 //!
-//! [`ServerStream`] is the control plane's end of one aggregated stream, [`ClientStream`] a client's; each takes
-//! what came and a cache or nothing else, and returns what is to be written. [`mapping`] says how slices, owners
-//! and levels stand in standard resources; `docs/xds.md` weighs the alternatives.
+//! [`ServerStream`] is the control plane's end of one aggregated stream, [`ClientStream`] a client's. Each takes
+//! received messages (the server's end also a [`Cache`]) and returns messages to send. [`mapping`] represents
+//! slices, owners and levels as standard resources; `docs/xds.md` discusses the alternatives.
 
 pub mod cache;
 pub mod client;
-pub mod holding;
+pub mod holdings;
 pub mod mapping;
 pub mod proto;
 mod server;
 
-pub use cache::{Cache, Entry, Kind, Stored};
+pub use cache::{Cache, CachedResource, Entry, Kind};
 pub use client::{ClientStream, Received, Update, UpdateError};
-pub use holding::holding_hash;
+pub use holdings::holdings_hash;
 pub use server::{Heard, Reply, ServerStream, StreamError};
 
-/// Which of the two variants of the protocol a stream speaks.
+/// The variant of the protocol that a stream uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
     /// `StreamAggregatedResources`.
@@ -26,6 +26,7 @@
 }
 
 impl Variant {
+    /// The path of the variant's RPC method.
     pub fn path(self) -> &'static str {
         match self {
             Variant::StateOfTheWorld => {
@@ -37,6 +38,7 @@
         }
     }
 
+    /// The variant whose RPC method has this path.
     pub fn of_path(path: &str) -> Option<Self> {
         [Variant::StateOfTheWorld, Variant::Incremental].into_iter().find(|variant| variant.path() == path)
     }
@@ -46,16 +48,17 @@
 pub const LRS_PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 /// The path of the health service's unary method.
 pub const HEALTH_PATH: &str = "/grpc.health.v1.Health/Check";
-/// The trailer in which a server tells its load (ORCA).
+/// The trailer in which a server reports its load (ORCA).
 pub const ORCA_TRAILER: &str = "endpoint-load-metrics-bin";
 
-/// A message of the protocol, of either variant.
+/// A message from a client, of either variant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     StateOfTheWorld(proto::DiscoveryRequest),
     Incremental(proto::DeltaDiscoveryRequest),
 }
 
+/// A message from a control plane, of either variant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     StateOfTheWorld(proto::DiscoveryResponse),
@@ -63,6 +66,7 @@
 }
 
 impl Request {
+    /// Decodes a message of `variant`.
     pub fn decode(variant: Variant, bytes: &[u8]) -> Result<Self, prost::DecodeError> {
         use prost::Message;
         Ok(match variant {
@@ -71,6 +75,7 @@
         })
     }
 
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         use prost::Message;
         match self {
@@ -79,6 +84,7 @@
         }
     }
 
+    /// The node that the client sent, if the message holds one.
     pub fn node(&self) -> Option<&proto::Node> {
         match self {
             Request::StateOfTheWorld(message) => message.node.as_ref(),
@@ -88,6 +94,7 @@
 }
 
 impl Response {
+    /// Decodes a message of `variant`.
     pub fn decode(variant: Variant, bytes: &[u8]) -> Result<Self, prost::DecodeError> {
         use prost::Message;
         Ok(match variant {
@@ -96,6 +103,7 @@
         })
     }
 
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         use prost::Message;
         match self {
@@ -105,14 +113,14 @@
     }
 }
 
-/// Reads the value of a binary header: base64, padded or not.
+/// Decodes the value of a binary header: base64, padded or not.
 pub fn unbase64(text: &str) -> Option<Vec<u8>> {
     use base64::engine::general_purpose::STANDARD_NO_PAD;
     use base64::Engine;
     STANDARD_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
 
-/// Writes the value of a binary header.
+/// Encodes the value of a binary header: base64 without padding.
 pub fn base64(bytes: &[u8]) -> String {
     use base64::engine::general_purpose::STANDARD_NO_PAD;
     use base64::Engine;
--- a/crates/whinhill-xds/src/proto.rs
+++ b/crates/whinhill-xds/src/proto.rs
@@ -1,6 +1,6 @@
-//! The messages of xDS v3, LRS v3, ORCA and gRPC health that whinhill uses, with the specification's field
-//! numbers. Fields that it neither sets nor reads are left out: protobuf skips them. `tests/field_numbers.rs`
-//! holds each against `envoy-types`.
+//! The messages of xDS v3, LRS v3, ORCA and gRPC health that whinhill uses, with the field numbers of the
+//! specifications. Fields that whinhill neither sets nor reads are left out: protobuf decoders skip them.
+//! `tests/field_numbers.rs` checks each message against `envoy-types`.
 
 use std::collections::HashMap;
 
@@ -23,6 +23,7 @@
     pub value: u32,
 }
 
+/// `envoy.config.core.v3.Locality`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
 pub struct Locality {
     #[prost(string, tag = "1")]
@@ -33,6 +34,7 @@
     pub sub_zone: String,
 }
 
+/// `envoy.config.core.v3.Node`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Node {
     #[prost(string, tag = "1")]
@@ -49,12 +51,14 @@
     pub client_features: Vec<String>,
 }
 
+/// `envoy.config.core.v3.Metadata`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Metadata {
     #[prost(map = "string, message", tag = "1")]
     pub filter_metadata: HashMap<String, Struct>,
 }
 
+/// `envoy.config.core.v3.SocketAddress`.
 #[derive(Clone, PartialEq, Message)]
 pub struct SocketAddress {
     #[prost(string, tag = "2")]
@@ -63,14 +67,16 @@
     pub port_value: u32,
 }
 
+/// `envoy.config.core.v3.Address`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Address {
     #[prost(message, optional, tag = "1")]
     pub socket_address: Option<SocketAddress>,
 }
 
-// Discovery.
+// Discovery messages.
 
+/// `envoy.service.discovery.v3.DiscoveryRequest`.
 #[derive(Clone, PartialEq, Message)]
 pub struct DiscoveryRequest {
     #[prost(string, tag = "1")]
@@ -87,12 +93,14 @@
     pub error_detail: Option<Status>,
 }
 
+/// `envoy.config.core.v3.ControlPlane`.
 #[derive(Clone, PartialEq, Message)]
 pub struct ControlPlane {
     #[prost(string, tag = "1")]
     pub identifier: String,
 }
 
+/// `envoy.service.discovery.v3.DiscoveryResponse`.
 #[derive(Clone, PartialEq, Message)]
 pub struct DiscoveryResponse {
     #[prost(string, tag = "1")]
@@ -107,6 +115,7 @@
     pub control_plane: Option<ControlPlane>,
 }
 
+/// `envoy.service.discovery.v3.DeltaDiscoveryRequest`.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeltaDiscoveryRequest {
     #[prost(message, optional, tag = "1")]
@@ -125,6 +134,7 @@
     pub error_detail: Option<Status>,
 }
 
+/// `envoy.service.discovery.v3.DeltaDiscoveryResponse`.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeltaDiscoveryResponse {
     #[prost(string, tag = "1")]
@@ -141,6 +151,7 @@
     pub control_plane: Option<ControlPlane>,
 }
 
+/// `envoy.service.discovery.v3.Resource`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Resource {
     #[prost(string, tag = "1")]
@@ -156,6 +167,7 @@
 
 // Endpoints.
 
+/// `envoy.config.endpoint.v3.ClusterLoadAssignment`.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClusterLoadAssignment {
     #[prost(string, tag = "1")]
@@ -166,12 +178,14 @@
     pub policy: Option<AssignmentPolicy>,
 }
 
+/// `envoy.config.endpoint.v3.ClusterLoadAssignment.Policy`.
 #[derive(Clone, PartialEq, Message)]
 pub struct AssignmentPolicy {
     #[prost(message, repeated, tag = "2")]
     pub drop_overloads: Vec<DropOverload>,
 }
 
+/// `envoy.config.endpoint.v3.ClusterLoadAssignment.Policy.DropOverload`.
 #[derive(Clone, PartialEq, Message)]
 pub struct DropOverload {
     #[prost(string, tag = "1")]
@@ -180,6 +194,7 @@
     pub drop_percentage: Option<FractionalPercent>,
 }
 
+/// `envoy.type.v3.FractionalPercent`.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct FractionalPercent {
     #[prost(uint32, tag = "1")]
@@ -188,6 +203,7 @@
     pub denominator: i32,
 }
 
+/// `envoy.type.v3.FractionalPercent.DenominatorType`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum Denominator {
@@ -196,6 +212,7 @@
     Million = 2,
 }
 
+/// `envoy.config.endpoint.v3.LocalityLbEndpoints`.
 #[derive(Clone, PartialEq, Message)]
 pub struct LocalityLbEndpoints {
     #[prost(message, optional, tag = "1")]
@@ -206,6 +223,7 @@
     pub load_balancing_weight: Option<UInt32Value>,
 }
 
+/// `envoy.config.endpoint.v3.LbEndpoint`.
 #[derive(Clone, PartialEq, Message)]
 pub struct LbEndpoint {
     #[prost(message, optional, tag = "1")]
@@ -218,12 +236,14 @@
     pub load_balancing_weight: Option<UInt32Value>,
 }
 
+/// `envoy.config.endpoint.v3.Endpoint`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Endpoint {
     #[prost(message, optional, tag = "1")]
     pub address: Option<Address>,
 }
 
+/// `envoy.config.core.v3.HealthStatus`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum HealthStatus {
@@ -237,18 +257,21 @@
 
 // Clusters, listeners, routes.
 
+/// `envoy.config.core.v3.ConfigSource`.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfigSource {
     #[prost(message, optional, tag = "3")]
     pub ads: Option<AggregatedConfigSource>,
-    /// 2 is v3.
+    /// 2 is the xDS API v3.
     #[prost(int32, tag = "6")]
     pub resource_api_version: i32,
 }
 
+/// `envoy.config.core.v3.AggregatedConfigSource`.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct AggregatedConfigSource {}
 
+/// `envoy.config.cluster.v3.Cluster`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Cluster {
     #[prost(string, tag = "1")]
@@ -262,6 +285,7 @@
     pub metadata: Option<Metadata>,
 }
 
+/// `envoy.config.cluster.v3.Cluster.EdsClusterConfig`.
 #[derive(Clone, PartialEq, Message)]
 pub struct EdsClusterConfig {
     #[prost(message, optional, tag = "1")]
@@ -270,6 +294,7 @@
     pub service_name: String,
 }
 
+/// `envoy.config.listener.v3.Listener`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Listener {
     #[prost(string, tag = "1")]
@@ -278,12 +303,14 @@
     pub api_listener: Option<ApiListener>,
 }
 
+/// `envoy.config.listener.v3.ApiListener`.
 #[derive(Clone, PartialEq, Message)]
 pub struct ApiListener {
     #[prost(message, optional, tag = "1")]
     pub api_listener: Option<Any>,
 }
 
+/// `envoy.extensions.filters.network.http_connection_manager.v3.HttpConnectionManager`.
 #[derive(Clone, PartialEq, Message)]
 pub struct HttpConnectionManager {
     #[prost(string, tag = "2")]
@@ -292,6 +319,7 @@
     pub rds: Option<Rds>,
 }
 
+/// `envoy.extensions.filters.network.http_connection_manager.v3.Rds`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Rds {
     #[prost(message, optional, tag = "1")]
@@ -300,6 +328,7 @@
     pub route_config_name: String,
 }
 
+/// `envoy.config.route.v3.RouteConfiguration`.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouteConfiguration {
     #[prost(string, tag = "1")]
@@ -308,6 +337,7 @@
     pub virtual_hosts: Vec<VirtualHost>,
 }
 
+/// `envoy.config.route.v3.VirtualHost`.
 #[derive(Clone, PartialEq, Message)]
 pub struct VirtualHost {
     #[prost(string, tag = "1")]
@@ -318,6 +348,7 @@
     pub routes: Vec<Route>,
 }
 
+/// `envoy.config.route.v3.Route`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Route {
     #[prost(message, optional, tag = "1")]
@@ -330,12 +361,14 @@
     pub name: String,
 }
 
+/// `envoy.config.route.v3.RouteMatch`.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouteMatch {
     #[prost(oneof = "PathSpecifier", tags = "1, 2")]
     pub path_specifier: Option<PathSpecifier>,
 }
 
+/// `envoy.config.route.v3.RouteMatch.path_specifier`.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PathSpecifier {
     #[prost(string, tag = "1")]
@@ -344,6 +377,7 @@
     Path(String),
 }
 
+/// `envoy.config.route.v3.RouteAction`.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouteAction {
     #[prost(string, tag = "2")]
@@ -354,6 +388,7 @@
     pub retry_policy: Option<RetryPolicy>,
 }
 
+/// `envoy.config.route.v3.RetryPolicy`.
 #[derive(Clone, PartialEq, Message)]
 pub struct RetryPolicy {
     #[prost(string, tag = "1")]
@@ -364,6 +399,7 @@
 
 // Load reports.
 
+/// `envoy.service.load_stats.v3.LoadStatsRequest`.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadStatsRequest {
     #[prost(message, optional, tag = "1")]
@@ -372,6 +408,7 @@
     pub cluster_stats: Vec<ClusterStats>,
 }
 
+/// `envoy.service.load_stats.v3.LoadStatsResponse`.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadStatsResponse {
     #[prost(string, repeated, tag = "1")]
@@ -384,6 +421,7 @@
     pub send_all_clusters: bool,
 }
 
+/// `envoy.config.endpoint.v3.ClusterStats`.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClusterStats {
     #[prost(string, tag = "1")]
@@ -398,6 +436,7 @@
     pub dropped_requests: Vec<DroppedRequests>,
 }
 
+/// `envoy.config.endpoint.v3.ClusterStats.DroppedRequests`.
 #[derive(Clone, PartialEq, Message)]
 pub struct DroppedRequests {
     #[prost(string, tag = "1")]
@@ -406,6 +445,7 @@
     pub dropped_count: u64,
 }
 
+/// `envoy.config.endpoint.v3.UpstreamLocalityStats`.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamLocalityStats {
     #[prost(message, optional, tag = "1")]
@@ -422,6 +462,7 @@
     pub total_issued_requests: u64,
 }
 
+/// `envoy.config.endpoint.v3.UpstreamEndpointStats`.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamEndpointStats {
     #[prost(message, optional, tag = "1")]
@@ -438,6 +479,7 @@
     pub total_issued_requests: u64,
 }
 
+/// `envoy.config.endpoint.v3.EndpointLoadMetricStats`.
 #[derive(Clone, PartialEq, Message)]
 pub struct EndpointLoadMetricStats {
     #[prost(string, tag = "1")]
@@ -450,6 +492,7 @@
 
 // ORCA and health.
 
+/// `xds.data.orca.v3.OrcaLoadReport`.
 #[derive(Clone, PartialEq, Message)]
 pub struct OrcaLoadReport {
     #[prost(double, tag = "1")]
@@ -458,12 +501,14 @@
     pub named_metrics: HashMap<String, f64>,
 }
 
+/// `grpc.health.v1.HealthCheckRequest`.
 #[derive(Clone, PartialEq, Message)]
 pub struct HealthCheckRequest {
     #[prost(string, tag = "1")]
     pub service: String,
 }
 
+/// `grpc.health.v1.HealthCheckResponse`.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct HealthCheckResponse {
     /// 1 is SERVING, 2 is NOT_SERVING.
@@ -471,40 +516,45 @@
     pub status: i32,
 }
 
-/// A span in the protocol's form. Spans here are far under its range.
-pub fn span(of: std::time::Duration) -> Duration {
-    Duration { seconds: of.as_secs() as i64, nanos: of.subsec_nanos() as i32 }
+/// Converts a duration to its protobuf form. The durations used here are far below the range of that form.
+pub fn span(duration: std::time::Duration) -> Duration {
+    Duration { seconds: duration.as_secs() as i64, nanos: duration.subsec_nanos() as i32 }
 }
 
-/// A span that came; negative ones and ones out of range are `None`.
-pub fn read_span(of: &Duration) -> Option<std::time::Duration> {
-    let (seconds, nanos) = (u64::try_from(of.seconds).ok()?, u32::try_from(of.nanos).ok()?);
+/// Converts a received duration; `None` if it is negative or out of range.
+pub fn read_span(duration: &Duration) -> Option<std::time::Duration> {
+    let (seconds, nanos) = (u64::try_from(duration.seconds).ok()?, u32::try_from(duration.nanos).ok()?);
     (nanos < 1_000_000_000).then(|| std::time::Duration::new(seconds, nanos))
 }
 
-pub fn text(value: &str) -> Value {
+/// A string as a metadata value.
+pub fn string_value(value: &str) -> Value {
     Value { kind: Some(value::Kind::StringValue(value.to_string())) }
 }
 
+/// A number as a metadata value.
 pub fn number(value: f64) -> Value {
     Value { kind: Some(value::Kind::NumberValue(value)) }
 }
 
-pub fn flag(value: bool) -> Value {
+/// A boolean as a metadata value.
+pub fn bool_value(value: bool) -> Value {
     Value { kind: Some(value::Kind::BoolValue(value)) }
 }
 
-/// Metadata of one filter.
+/// Metadata with the fields of one filter.
 pub fn metadata(filter: &str, fields: impl IntoIterator<Item = (&'static str, Value)>) -> Metadata {
     let fields = fields.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
     Metadata { filter_metadata: HashMap::from([(filter.to_string(), Struct { fields })]) }
 }
 
 impl Metadata {
+    /// A field of a filter's metadata.
     pub fn field(&self, filter: &str, name: &str) -> Option<&value::Kind> {
         self.filter_metadata.get(filter)?.fields.get(name)?.kind.as_ref()
     }
 
+    /// A number in a filter's metadata.
     pub fn number(&self, filter: &str, name: &str) -> Option<f64> {
         match self.field(filter, name)? {
             value::Kind::NumberValue(value) => Some(*value),
@@ -512,6 +562,7 @@
         }
     }
 
+    /// A boolean in a filter's metadata.
     pub fn flag(&self, filter: &str, name: &str) -> Option<bool> {
         match self.field(filter, name)? {
             value::Kind::BoolValue(value) => Some(*value),
--- a/crates/whinhill-xds/src/server.rs
+++ b/crates/whinhill-xds/src/server.rs
@@ -1,7 +1,8 @@
 //! The control plane's end of one aggregated stream: a state machine without I/O.
 //!
-//! Nothing is queued but names: what a reply holds is read from the cache when it is made, so a newer version
-//! of a resource takes the place of an older one that was not sent yet, and a slow reader costs a set of names.
+//! Only names are queued. The contents of a reply are read from the cache when the reply is built, so a newer
+//! version of a resource replaces an older one that was not sent yet, and a slow reader costs no more than a set
+//! of names.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,31 +11,32 @@
 use prost::Message;
 
 use crate::cache::{Cache, Form, Kind};
-use crate::holding::{holding_hash, told};
+use crate::holdings::{hash_from_node, holdings_hash};
 use crate::proto::{self, DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::{Request, Variant};
 
-/// Replies of one type that may be unanswered at a time.
-const UNANSWERED: usize = 8;
-/// Resources in one reply: a message stays well under the transport's limit.
-const IN_ONE_REPLY: usize = 4096;
-/// Bytes of resources after which a reply is full.
-const REPLY_BYTES: usize = 1 << 20;
-/// Names that a client may subscribe to beyond those that exist.
-const UNKNOWN_NAMES: usize = 4096;
+/// Maximum number of unacknowledged replies of one type.
+const MAX_UNACKED_REPLIES: usize = 8;
+/// Maximum number of resources in one reply, which keeps a message well under the transport's limit.
+const MAX_RESOURCES_PER_REPLY: usize = 4096;
+/// A reply gets no further resources once it holds this many bytes of them.
+const REPLY_BYTES_THRESHOLD: usize = 1 << 20;
+/// How many names a client may subscribe to in addition to the number of existing ones.
+const MAX_UNKNOWN_NAMES: usize = 4096;
 
-/// What a request told.
+/// The effect of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// Names were asked for or given up.
+    /// Names were subscribed or unsubscribed.
     Subscribed { kind: Kind },
-    /// A reply was taken, with whatever came before it.
+    /// A reply was acknowledged; in the state of the world, earlier ones with it.
     Acked { kind: Kind, nonce: u64 },
-    /// A reply was rejected: the client holds what it had. Its resources go out once more.
+    /// A reply was rejected: the client keeps what it had. The reply's resources are sent again.
     Nacked { kind: Kind, nonce: u64, names: Vec<String>, reason: String },
-    /// A reply was taken, but the client holds something else than was acknowledged: it is told everything anew.
+    /// A reply was acknowledged, but the client's hash shows that it holds other versions than it acknowledged:
+    /// all its resources are sent again.
     Differs { kind: Kind, theirs: u64, ours: u64 },
-    /// The nonce is older than the last reply's, or none of ours.
+    /// The nonce is not that of an unacknowledged reply.
     Stale { kind: Kind, nonce: String },
 }
 
@@ -45,69 +47,81 @@
     UnknownType(String),
     #[error("a request of the other variant")]
     WrongVariant,
-    #[error("{kind:?}: {names} names subscribed, {most} allowed")]
-    TooManyNames { kind: Kind, names: usize, most: usize },
+    #[error("{kind:?}: {names} names subscribed, {max} allowed")]
+    TooManyNames { kind: Kind, names: usize, max: usize },
     #[error("{kind:?} {name} {version} was rejected twice: {reason}")]
     RejectedTwice { kind: Kind, name: String, version: String, reason: String },
 }
 
-/// A resource as it was last sent: its version, or `None` where the client was told that there is none.
+/// The version of a resource that was last sent, or `None` where the client was told that it does not exist.
 type SentVersion = Option<Arc<str>>;
 
+/// A reply that is not acknowledged yet.
 #[derive(Debug)]
-struct Sent {
+struct UnackedReply {
     nonce: u64,
     items: Vec<(Arc<str>, SentVersion)>,
 }
 
+/// Subscription and state of one resource type.
 #[derive(Debug, Default)]
-struct Topic {
-    started: bool,
+struct Subscription {
+    requested: bool,
     wildcard: bool,
     names: BTreeSet<Arc<str>>,
-    /// What the client holds once it has taken all that was sent, and the reply that told it (0: the client).
-    holds: BTreeMap<Arc<str>, (SentVersion, u64)>,
-    dirty: BTreeSet<Arc<str>>,
-    sent: VecDeque<Sent>,
+    /// The versions that the client holds once it has accepted all that was sent, each with the nonce of the
+    /// reply that sent it (0: reported by the client, or unknown).
+    client_versions: BTreeMap<Arc<str>, (SentVersion, u64)>,
+    /// Names whose state is still to be sent.
+    pending: BTreeSet<Arc<str>>,
+    unacked: VecDeque<UnackedReply>,
+    /// Versions that the client has rejected once.
     rejected: BTreeMap<Arc<str>, SentVersion>,
-    /// The last reply's nonce.
-    newest: u64,
-    /// A reply is owed even if it names nothing: what a client of the whole state holds may all be gone.
-    owed: bool,
+    /// Nonce of the last reply.
+    last_nonce: u64,
+    /// A reply is due even if it lists nothing: all resources that a client of the whole state holds may be
+    /// gone.
+    reply_due: bool,
 }
 
-impl Topic {
-    fn wants(&self, name: &str) -> bool {
+impl Subscription {
+    /// Whether the client is subscribed to a name.
+    fn is_subscribed_to(&self, name: &str) -> bool {
         self.wildcard || self.names.contains(name)
     }
 
-    /// Whether the client must still hear of a name.
-    fn due(&self, kind: Kind, name: &str, cache: &Cache) -> bool {
+    /// Whether the client must still be sent the current state of a name.
+    fn needs_update(&self, kind: Kind, name: &str, cache: &Cache) -> bool {
         let current = cache.get(kind, name).map(|entry| &entry.version);
-        self.wants(name) && self.holds.get(name).map(|held| held.0.as_ref()) != Some(current) && {
-            // A wildcard client need not be told of what it never had.
-            current.is_some() || self.holds.contains_key(name) || self.names.contains(name)
-        }
+        self.is_subscribed_to(name)
+            && self.client_versions.get(name).map(|held| held.0.as_ref()) != Some(current)
+            && {
+                // A wildcard client need not be told that a name it never had does not exist.
+                current.is_some() || self.client_versions.contains_key(name) || self.names.contains(name)
+            }
     }
 }
 
+/// A requested acknowledgement that is not complete yet.
 #[derive(Debug)]
-struct Mark {
-    mark: u16,
-    /// The replies that must be answered first, once all that was due has been sent.
-    waits: Option<BTreeSet<(Kind, u64)>>,
+struct PendingAck {
+    ack_seq: u16,
+    /// The replies that must be acknowledged first; set once everything that was pending has been sent.
+    awaited: Option<BTreeSet<(Kind, u64)>>,
 }
 
-/// One stream. Feed it requests and changes; write what [`ServerStream::next`] returns until it returns nothing.
+/// One stream. Pass requests and cache changes to it, and write the replies that [`ServerStream::next`] returns
+/// until it returns `None`.
 #[derive(Debug)]
 pub struct ServerStream {
     variant: Variant,
     wrapped: bool,
-    nonces: u64,
-    topics: [Topic; 4],
-    marks: Vec<Mark>,
-    /// The revision of the cache's names and of ours at which every slice was subscribed.
-    complete: Option<u64>,
+    last_nonce_sent: u64,
+    subscriptions: [Subscription; 4],
+    pending_acks: Vec<PendingAck>,
+    /// The cache's names revision at which the client was subscribed to every slice; `None` if the subscription
+    /// has changed since.
+    complete_at: Option<u64>,
 }
 
 impl ServerStream {
@@ -117,363 +131,432 @@
         ServerStream {
             variant,
             wrapped,
-            nonces: 0,
-            topics: Default::default(),
-            marks: Vec::new(),
-            complete: None,
+            last_nonce_sent: 0,
+            subscriptions: Default::default(),
+            pending_acks: Vec::new(),
+            complete_at: None,
         }
     }
 
-    /// Takes one request.
+    /// Handles one request.
     pub fn hear(&mut self, request: &Request, cache: &Cache) -> Result<Heard, StreamError> {
         let heard = match (request, self.variant) {
-            (Request::Incremental(request), Variant::Incremental) => self.hear_incremental(request, cache)?,
+            (Request::Incremental(request), Variant::Incremental) => {
+                self.handle_incremental(request, cache)?
+            }
             (Request::StateOfTheWorld(request), Variant::StateOfTheWorld) => {
-                self.hear_whole(request, cache)?
+                self.handle_state_of_the_world(request, cache)?
             }
             _ => return Err(StreamError::WrongVariant),
         };
-        match (&heard, request.node().and_then(told)) {
-            (Heard::Acked { kind, .. }, Some(theirs)) => Ok(self.compare(*kind, theirs).unwrap_or(heard)),
+        match (&heard, request.node().and_then(hash_from_node)) {
+            (Heard::Acked { kind, .. }, Some(theirs)) => {
+                Ok(self.compare_hash(*kind, theirs).unwrap_or(heard))
+            }
             _ => Ok(heard),
         }
     }
 
-    /// Compares what the client says that it holds with what it has acknowledged. While anything is on its way, or
-    /// rejected, the two may differ rightly.
-    fn compare(&mut self, kind: Kind, theirs: u64) -> Option<Heard> {
-        let topic = &mut self.topics[kind.place()];
-        // A name that was given up and asked for again is due here while the client may hold it from before.
-        if !topic.sent.is_empty()
-            || !topic.dirty.is_empty()
-            || topic.holds.values().any(|(version, _)| version.as_deref() == Some(""))
+    /// Compares the client's hash with the hash of what it has acknowledged. While anything is in flight or was
+    /// rejected, the two may legitimately differ.
+    fn compare_hash(&mut self, kind: Kind, theirs: u64) -> Option<Heard> {
+        let subscription = &mut self.subscriptions[kind.index()];
+        // A name that was unsubscribed and subscribed again is pending here, while the client may still hold it
+        // from before.
+        if !subscription.unacked.is_empty()
+            || !subscription.pending.is_empty()
+            || subscription.client_versions.values().any(|(version, _)| version.as_deref() == Some(""))
         {
             return None;
         }
-        let held = topic.holds.iter().filter_map(|(name, (version, _))| Some((&**name, version.as_deref()?)));
-        let ours = holding_hash(held);
+        let held = subscription
+            .client_versions
+            .iter()
+            .filter_map(|(name, (version, _))| Some((&**name, version.as_deref()?)));
+        let ours = holdings_hash(held);
         if ours == theirs {
             return None;
         }
-        // What it holds is unknown: everything that it may hold or wants is due, gone or not.
-        let names: BTreeSet<Arc<str>> = topic.holds.keys().chain(&topic.names).cloned().collect();
-        topic.holds = names.iter().map(|name| (name.clone(), (Some("".into()), 0))).collect();
-        topic.dirty.extend(names);
+        // What the client holds is unknown: send everything that it may hold or is subscribed to, whether it
+        // still exists or not.
+        let names: BTreeSet<Arc<str>> =
+            subscription.client_versions.keys().chain(&subscription.names).cloned().collect();
+        subscription.client_versions =
+            names.iter().map(|name| (name.clone(), (Some("".into()), 0))).collect();
+        subscription.pending.extend(names);
         Some(Heard::Differs { kind, theirs, ours })
     }
 
-    /// The cache has a new version of a name, or has it no longer.
+    /// Reports that the cache has a new version of a name, or that the name was removed.
     pub fn changed(&mut self, kind: Kind, name: &Arc<str>) {
-        let topic = &mut self.topics[kind.place()];
-        if topic.started && topic.wants(name) {
-            topic.dirty.insert(name.clone());
+        let subscription = &mut self.subscriptions[kind.index()];
+        if subscription.requested && subscription.is_subscribed_to(name) {
+            subscription.pending.insert(name.clone());
         }
     }
 
-    /// Asks to be told, by [`ServerStream::take_acked`], when the client has taken all that is due now.
-    pub fn mark(&mut self, mark: u16) {
-        self.marks.push(Mark { mark, waits: None });
+    /// Requests an acknowledgement: [`ServerStream::take_acked`] returns `ack_seq` once the client has
+    /// acknowledged everything that is pending now.
+    pub fn mark(&mut self, ack_seq: u16) {
+        self.pending_acks.push(PendingAck { ack_seq, awaited: None });
     }
 
-    /// Marks that have been answered since the last call, in order.
+    /// The sequence numbers of requested acknowledgements that have been completed since the last call, in
+    /// order.
     pub fn take_acked(&mut self, cache: &Cache) -> Vec<u16> {
-        if self.marks.is_empty() || !self.settled(cache) {
+        if self.pending_acks.is_empty() || !self.everything_sent(cache) {
             return Vec::new();
         }
-        let open: BTreeSet<(Kind, u64)> = Kind::ALL
+        let unacked: BTreeSet<(Kind, u64)> = Kind::ALL
             .into_iter()
-            .flat_map(|kind| self.topics[kind.place()].sent.iter().map(move |sent| (kind, sent.nonce)))
+            .flat_map(|kind| {
+                self.subscriptions[kind.index()].unacked.iter().map(move |sent| (kind, sent.nonce))
+            })
             .collect();
-        for mark in &mut self.marks {
-            let waits = mark.waits.get_or_insert_with(|| open.clone());
-            waits.retain(|wait| open.contains(wait));
-        }
-        let done = self.marks.iter().take_while(|m| m.waits.as_ref().is_some_and(BTreeSet::is_empty)).count();
-        self.marks.drain(..done).map(|mark| mark.mark).collect()
+        for ack in &mut self.pending_acks {
+            let awaited = ack.awaited.get_or_insert_with(|| unacked.clone());
+            awaited.retain(|awaited_reply| unacked.contains(awaited_reply));
+        }
+        let done = self
+            .pending_acks
+            .iter()
+            .take_while(|m| m.awaited.as_ref().is_some_and(BTreeSet::is_empty))
+            .count();
+        self.pending_acks.drain(..done).map(|ack| ack.ack_seq).collect()
     }
 
-    /// Names of which the client is still to hear.
+    /// Number of names whose state is still to be sent.
     pub fn due(&self) -> usize {
-        self.topics.iter().map(|topic| topic.dirty.len()).sum()
+        self.subscriptions.iter().map(|subscription| subscription.pending.len()).sum()
     }
 
-    /// Marks without an answer.
+    /// Number of requested acknowledgements that are not complete yet.
     pub fn marks_open(&self) -> usize {
-        self.marks.len()
+        self.pending_acks.len()
     }
 
-    /// Whether the client has taken all that there is for it.
+    /// Whether the client has acknowledged everything that it is subscribed to.
     pub fn holds_all(&mut self, cache: &Cache) -> bool {
-        self.settled(cache) && self.topics.iter().all(|topic| topic.sent.is_empty())
+        self.everything_sent(cache)
+            && self.subscriptions.iter().all(|subscription| subscription.unacked.is_empty())
     }
 
-    /// Whether all that is due has been sent, and the client has asked for every slice: one that has not may
-    /// still follow a table of an earlier stream.
-    fn settled(&mut self, cache: &Cache) -> bool {
-        if self.topics.iter().any(|topic| !topic.dirty.is_empty() || topic.owed) {
+    /// Whether everything pending has been sent, and the client is subscribed to every slice: one that is not
+    /// may still use a table from an earlier stream.
+    fn everything_sent(&mut self, cache: &Cache) -> bool {
+        if self
+            .subscriptions
+            .iter()
+            .any(|subscription| !subscription.pending.is_empty() || subscription.reply_due)
+        {
             return false;
         }
-        if self.complete != Some(cache.names_revision()) {
-            let topic = &self.topics[Kind::Endpoints.place()];
-            let all = topic.started && cache.names(Kind::Endpoints).all(|name| topic.wants(name));
-            self.complete = all.then(|| cache.names_revision());
+        if self.complete_at != Some(cache.names_revision()) {
+            let subscription = &self.subscriptions[Kind::Endpoints.index()];
+            let all = subscription.requested
+                && cache.names(Kind::Endpoints).all(|name| subscription.is_subscribed_to(name));
+            self.complete_at = all.then(|| cache.names_revision());
         }
-        self.complete.is_some()
+        self.complete_at.is_some()
     }
 
-    fn hear_incremental(
+    fn handle_incremental(
         &mut self,
         request: &DeltaDiscoveryRequest,
         cache: &Cache,
     ) -> Result<Heard, StreamError> {
-        let kind = kind_of(&request.type_url)?;
-        let first = !self.topics[kind.place()].started;
+        let kind = kind_from_url(&request.type_url)?;
+        let first = !self.subscriptions[kind.index()].requested;
         let mut heard = Heard::Subscribed { kind };
         if !request.response_nonce.is_empty() {
             let reason = request.error_detail.as_ref().map(|status| status.message.clone());
-            heard = self.answered(kind, &request.response_nonce, reason, false)?;
+            heard = self.handle_answer(kind, &request.response_nonce, reason, false)?;
         }
-        self.complete = None;
-        let topic = &mut self.topics[kind.place()];
-        topic.started = true;
+        self.complete_at = None;
+        let subscription = &mut self.subscriptions[kind.index()];
+        subscription.requested = true;
         if first {
             let named = |(name, version): (&String, &String)| {
-                // What the client holds of us is mostly what we have: then both share one copy.
+                // The client's version is mostly the cached one: then both share one copy.
                 let stored = cache.get(kind, name).filter(|stored| *stored.version == **version);
                 let version = stored.map_or_else(|| version.as_str().into(), |s| s.version.clone());
-                (cache.shared(kind, name), (Some(version), 0))
+                (cache.shared_name(kind, name), (Some(version), 0))
             };
-            topic.holds = request.initial_resource_versions.iter().map(named).collect();
-            // The legacy form: a first request without names asks for all there is.
-            topic.wildcard = request.resource_names_subscribe.is_empty() && kind.whole();
+            subscription.client_versions = request.initial_resource_versions.iter().map(named).collect();
+            // The legacy form: a first request without names subscribes to everything.
+            subscription.wildcard = request.resource_names_subscribe.is_empty() && kind.lists_all_resources();
         }
         for name in &request.resource_names_subscribe {
             if name == "*" {
-                topic.wildcard = true;
-            } else if !topic.names.insert(cache.shared(kind, name)) || !first {
-                // Asked for again, or anew: it must be sent even if it was sent before.
-                topic.holds.remove(name.as_str());
+                subscription.wildcard = true;
+            } else if !subscription.names.insert(cache.shared_name(kind, name)) || !first {
+                // Subscribed again, or newly: it must be sent even if it was sent before.
+                subscription.client_versions.remove(name.as_str());
             }
         }
         for name in &request.resource_names_unsubscribe {
             if name == "*" {
-                topic.wildcard = false;
+                subscription.wildcard = false;
             } else {
-                topic.names.remove(name.as_str());
+                subscription.names.remove(name.as_str());
             }
         }
         if !request.resource_names_unsubscribe.is_empty() {
-            let Topic { names, wildcard, holds, dirty, .. } = &mut *topic;
-            holds.retain(|name, _| *wildcard || names.contains(name));
-            dirty.retain(|name| *wildcard || names.contains(name));
+            let Subscription { names, wildcard, client_versions, pending, .. } = &mut *subscription;
+            client_versions.retain(|name, _| *wildcard || names.contains(name));
+            pending.retain(|name| *wildcard || names.contains(name));
         }
         if first || !request.resource_names_subscribe.is_empty() {
-            self.refresh(kind, cache);
+            self.collect_pending(kind, cache);
         }
-        self.bounded(kind, cache)?;
+        self.check_name_count(kind, cache)?;
         Ok(heard)
     }
 
-    fn hear_whole(&mut self, request: &DiscoveryRequest, cache: &Cache) -> Result<Heard, StreamError> {
-        let kind = kind_of(&request.type_url)?;
+    fn handle_state_of_the_world(
+        &mut self,
+        request: &DiscoveryRequest,
+        cache: &Cache,
+    ) -> Result<Heard, StreamError> {
+        let kind = kind_from_url(&request.type_url)?;
         let mut heard = Heard::Subscribed { kind };
         if !request.response_nonce.is_empty() {
             let reason = request.error_detail.as_ref().map(|status| status.message.clone());
-            heard = self.answered(kind, &request.response_nonce, reason, true)?;
+            heard = self.handle_answer(kind, &request.response_nonce, reason, true)?;
         }
-        // The names count whatever nonce they come with: requests come in order, and a name given up and asked
-        // for again between two replies must be sent again.
-        self.complete = None;
-        let topic = &mut self.topics[kind.place()];
-        let first = !std::mem::replace(&mut topic.started, true);
+        // The names apply whatever nonce the request has: requests arrive in order, and a name unsubscribed and
+        // subscribed again between two replies must be sent again.
+        self.complete_at = None;
+        let subscription = &mut self.subscriptions[kind.index()];
+        let first = !std::mem::replace(&mut subscription.requested, true);
         let named = request.resource_names.iter().filter(|name| *name != "*");
-        let names: BTreeSet<Arc<str>> = named.map(|name| cache.shared(kind, name)).collect();
-        let star = names.len() < request.resource_names.len();
-        topic.wildcard = star || kind.whole() && names.is_empty() && (first || topic.wildcard);
-        let fresh = names.iter().any(|name| !topic.names.contains(name));
-        if !topic.wildcard {
-            topic.holds.retain(|name, _| names.contains(name));
-            topic.dirty.retain(|name| names.contains(name));
-        }
-        topic.names = names;
-        topic.owed |= first && kind.whole();
-        if first || fresh {
-            self.refresh(kind, cache);
-        }
-        self.bounded(kind, cache)?;
+        let names: BTreeSet<Arc<str>> = named.map(|name| cache.shared_name(kind, name)).collect();
+        let has_wildcard = names.len() < request.resource_names.len();
+        subscription.wildcard = has_wildcard
+            || kind.lists_all_resources() && names.is_empty() && (first || subscription.wildcard);
+        let has_new_names = names.iter().any(|name| !subscription.names.contains(name));
+        if !subscription.wildcard {
+            subscription.client_versions.retain(|name, _| names.contains(name));
+            subscription.pending.retain(|name| names.contains(name));
+        }
+        subscription.names = names;
+        subscription.reply_due |= first && kind.lists_all_resources();
+        if first || has_new_names {
+            self.collect_pending(kind, cache);
+        }
+        self.check_name_count(kind, cache)?;
         Ok(heard)
     }
 
-    /// Finds every name of a type that the client must still hear of.
-    fn refresh(&mut self, kind: Kind, cache: &Cache) {
-        let topic = &mut self.topics[kind.place()];
-        let there = cache.all(kind).map(|stored| stored.name().clone());
-        let all: BTreeSet<Arc<str>> =
-            there.chain(topic.holds.keys().cloned()).chain(topic.names.iter().cloned()).collect();
-        let due: Vec<Arc<str>> = all.into_iter().filter(|name| topic.due(kind, name, cache)).collect();
-        topic.dirty.extend(due);
+    /// Adds every name of a type whose state the client must still be sent to the pending names.
+    fn collect_pending(&mut self, kind: Kind, cache: &Cache) {
+        let subscription = &mut self.subscriptions[kind.index()];
+        let existing = cache.all(kind).map(|stored| stored.name().clone());
+        let all: BTreeSet<Arc<str>> = existing
+            .chain(subscription.client_versions.keys().cloned())
+            .chain(subscription.names.iter().cloned())
+            .collect();
+        let needed: Vec<Arc<str>> =
+            all.into_iter().filter(|name| subscription.needs_update(kind, name, cache)).collect();
+        subscription.pending.extend(needed);
     }
 
-    fn bounded(&self, kind: Kind, cache: &Cache) -> Result<(), StreamError> {
-        let topic = &self.topics[kind.place()];
-        let (names, most) = (topic.names.len().max(topic.holds.len()), cache.len(kind) + UNKNOWN_NAMES);
-        if names > most {
-            return Err(StreamError::TooManyNames { kind, names, most });
+    /// Fails if the client is subscribed to, or holds, too many names.
+    fn check_name_count(&self, kind: Kind, cache: &Cache) -> Result<(), StreamError> {
+        let subscription = &self.subscriptions[kind.index()];
+        let (names, max) = (
+            subscription.names.len().max(subscription.client_versions.len()),
+            cache.len(kind) + MAX_UNKNOWN_NAMES,
+        );
+        if names > max {
+            return Err(StreamError::TooManyNames { kind, names, max });
         }
         Ok(())
     }
 
-    /// Books the answer to a reply. In the state of the world an answer stands for all before it.
-    fn answered(
+    /// Handles the ACK of a reply, or its NACK with a reason. In the state of the world it covers all earlier
+    /// replies too.
+    fn handle_answer(
         &mut self,
         kind: Kind,
         nonce: &str,
         rejected: Option<String>,
         with_earlier: bool,
     ) -> Result<Heard, StreamError> {
-        let topic = &mut self.topics[kind.place()];
-        let place = nonce.parse().ok().and_then(|n: u64| topic.sent.iter().position(|sent| sent.nonce == n));
-        let Some(place) = place else { return Ok(Heard::Stale { kind, nonce: nonce.to_string() }) };
-        let earlier: Vec<Sent> = if with_earlier { topic.sent.drain(..place).collect() } else { Vec::new() };
-        let place = if with_earlier { 0 } else { place };
-        let Some(sent) = topic.sent.remove(place) else {
+        let subscription = &mut self.subscriptions[kind.index()];
+        let index = nonce
+            .parse()
+            .ok()
+            .and_then(|n: u64| subscription.unacked.iter().position(|sent| sent.nonce == n));
+        let Some(index) = index else { return Ok(Heard::Stale { kind, nonce: nonce.to_string() }) };
+        let earlier: Vec<UnackedReply> =
+            if with_earlier { subscription.unacked.drain(..index).collect() } else { Vec::new() };
+        let index = if with_earlier { 0 } else { index };
+        let Some(sent) = subscription.unacked.remove(index) else {
             return Ok(Heard::Stale { kind, nonce: nonce.to_string() });
         };
         let Some(reason) = rejected else {
             let nonce = sent.nonce;
-            for Sent { nonce, items } in earlier.into_iter().chain([sent]) {
+            for UnackedReply { nonce, items } in earlier.into_iter().chain([sent]) {
                 for (name, version) in items {
-                    topic.rejected.retain(|n, v| *n != name || *v != version);
-                    if !topic.names.contains(&name) && topic.holds.get(&name) == Some(&(None, nonce)) {
-                        topic.holds.remove(&name);
+                    subscription.rejected.retain(|n, v| *n != name || *v != version);
+                    if !subscription.names.contains(&name)
+                        && subscription.client_versions.get(&name) == Some(&(None, nonce))
+                    {
+                        subscription.client_versions.remove(&name);
                     }
                 }
             }
             return Ok(Heard::Acked { kind, nonce });
         };
-        // A mark that waited for it must wait for what is sent in its place: an answer that rejects is no ack.
-        for mark in &mut self.marks {
-            mark.waits = mark.waits.take().filter(|waits| !waits.contains(&(kind, sent.nonce)));
+        // A requested acknowledgement that awaited this reply must await the resources that are sent again: a
+        // NACK is not an acknowledgement.
+        for ack in &mut self.pending_acks {
+            ack.awaited = ack.awaited.take().filter(|awaited| !awaited.contains(&(kind, sent.nonce)));
         }
         let mut names = Vec::new();
         for (name, version) in sent.items {
-            if topic.rejected.get(&name) == Some(&version) {
+            if subscription.rejected.get(&name) == Some(&version) {
                 let version = version.as_deref().unwrap_or_default().to_string();
                 return Err(StreamError::RejectedTwice { kind, name: name.to_string(), version, reason });
             }
-            topic.rejected.insert(name.clone(), version.clone());
-            // What was sent after it is judged by itself; only what still stands as this reply told goes out again.
-            if topic.holds.get(&name).is_some_and(|held| held.1 == sent.nonce) {
-                // Whatever the client held before it holds still: unknown to us, and to be told even if it is gone.
-                topic.holds.insert(name.clone(), (Some("".into()), 0));
-                topic.dirty.insert(name.clone());
+            subscription.rejected.insert(name.clone(), version.clone());
+            // Later replies are handled by their own answers: only resources whose latest version came from this
+            // reply are sent again.
+            if subscription.client_versions.get(&name).is_some_and(|held| held.1 == sent.nonce) {
+                // The client keeps what it held before, which is unknown here; it must be sent the current state
+                // even if the resource is gone.
+                subscription.client_versions.insert(name.clone(), (Some("".into()), 0));
+                subscription.pending.insert(name.clone());
             }
             names.push(name.to_string());
         }
         Ok(Heard::Nacked { kind, nonce: sent.nonce, names, reason })
     }
 
-    /// The next reply to write, in make-before-break order; `None` when nothing is due or too much is unanswered.
+    /// The next reply to write, in make-before-break order; `None` when nothing is pending or too many replies
+    /// are unacknowledged.
     pub fn next(&mut self, cache: &Cache) -> Option<Reply> {
-        // Clusters first but without the removed ones, which go last.
-        let clusters = self.reply(Kind::Cluster, cache, false);
-        clusters.or_else(|| Kind::ALL[1..].iter().find_map(|kind| self.reply(*kind, cache, true))).or_else(
-            || {
-                let rest = Kind::ALL[1..].iter().any(|kind| !self.topics[kind.place()].dirty.is_empty());
-                if rest {
+        // Clusters first, except removed ones, which come last.
+        let clusters = self.reply_of_kind(Kind::Cluster, cache, false);
+        clusters
+            .or_else(|| Kind::ALL[1..].iter().find_map(|kind| self.reply_of_kind(*kind, cache, true)))
+            .or_else(|| {
+                let others_pending =
+                    Kind::ALL[1..].iter().any(|kind| !self.subscriptions[kind.index()].pending.is_empty());
+                if others_pending {
                     None
                 } else {
-                    self.reply(Kind::Cluster, cache, true)
+                    self.reply_of_kind(Kind::Cluster, cache, true)
                 }
-            },
-        )
+            })
     }
 
-    fn reply(&mut self, kind: Kind, cache: &Cache, with_removed: bool) -> Option<Reply> {
+    /// The next reply of one type.
+    fn reply_of_kind(&mut self, kind: Kind, cache: &Cache, with_removed: bool) -> Option<Reply> {
         let variant = self.variant;
-        let topic = &mut self.topics[kind.place()];
-        // Of routes one at a time: the lease of the client that reads them rests on it.
-        let most = if kind == Kind::Route { 1 } else { UNANSWERED };
-        let owed = topic.owed && topic.dirty.is_empty();
-        if topic.dirty.is_empty() && !owed || topic.sent.len() >= most {
+        let subscription = &mut self.subscriptions[kind.index()];
+        // Only one unacknowledged reply of routes, since the client's lease depends on them.
+        let max_unacked = if kind == Kind::Route { 1 } else { MAX_UNACKED_REPLIES };
+        let reply_due = subscription.reply_due && subscription.pending.is_empty();
+        if subscription.pending.is_empty() && !reply_due || subscription.unacked.len() >= max_unacked {
             return None;
         }
-        if !owed && !with_removed && topic.dirty.iter().all(|name| cache.get(kind, name).is_none()) {
+        if !reply_due
+            && !with_removed
+            && subscription.pending.iter().all(|name| cache.get(kind, name).is_none())
+        {
             return None;
         }
-        let whole = variant == Variant::StateOfTheWorld && kind.whole();
+        let full_state = variant == Variant::StateOfTheWorld && kind.lists_all_resources();
         let mut items: Vec<(Arc<str>, SentVersion)> = Vec::new();
         let mut bytes = 0;
-        let names: Vec<Arc<str>> = topic.dirty.iter().cloned().collect();
+        let names: Vec<Arc<str>> = subscription.pending.iter().cloned().collect();
         for name in names {
             let entry = cache.get(kind, &name);
             if entry.is_none() && !with_removed {
                 continue;
             }
-            topic.dirty.remove(&name);
-            if !topic.due(kind, &name, cache) {
+            subscription.pending.remove(&name);
+            if !subscription.needs_update(kind, &name, cache) {
                 continue;
             }
             bytes += entry.map_or(0, |entry| entry.body.len()) + name.len();
             items.push((name, entry.map(|entry| entry.version.clone())));
-            if !whole && (items.len() >= IN_ONE_REPLY || bytes >= REPLY_BYTES) {
+            if !full_state && (items.len() >= MAX_RESOURCES_PER_REPLY || bytes >= REPLY_BYTES_THRESHOLD) {
                 break;
             }
         }
-        if items.is_empty() && !owed {
+        if items.is_empty() && !reply_due {
             return None;
         }
-        topic.owed = false;
-        if whole {
-            // All that is wanted and there is goes along: what is left out counts as gone.
+        subscription.reply_due = false;
+        if full_state {
+            // The reply lists all existing subscribed resources: those that it omits count as removed.
             items.retain(|(_, version)| version.is_none());
-            let there = cache.all(kind).filter(|stored| topic.wants(stored.name()));
-            items.extend(there.map(|stored| (stored.name().clone(), Some(stored.version.clone()))));
-            topic.dirty.clear();
+            let existing = cache.all(kind).filter(|stored| subscription.is_subscribed_to(stored.name()));
+            items.extend(existing.map(|stored| (stored.name().clone(), Some(stored.version.clone()))));
+            subscription.pending.clear();
         }
         for (name, version) in &items {
-            topic.holds.insert(name.clone(), (version.clone(), self.nonces + 1));
+            subscription.client_versions.insert(name.clone(), (version.clone(), self.last_nonce_sent + 1));
         }
-        if variant == Variant::StateOfTheWorld && !kind.whole() {
-            // The variant has no way to say that endpoints or routes are gone; their cluster or listener says it.
+        if variant == Variant::StateOfTheWorld && !kind.lists_all_resources() {
+            // This variant can't express that endpoints or routes are gone; the removal of their cluster or
+            // listener implies it.
             items.retain(|(_, version)| version.is_some());
             if items.is_empty() {
                 return None;
             }
         }
         let form = self.form();
-        let told = items.iter().filter(|(_, version)| version.is_some());
-        let frames = told.filter_map(|(name, _)| Some(cache.get(kind, name)?.frame(form))).collect();
+        let present = items.iter().filter(|(_, version)| version.is_some());
+        let resource_fields =
+            present.filter_map(|(name, _)| Some(cache.get(kind, name)?.encoded_field(form))).collect();
         let removed: Vec<String> =
             items.iter().filter(|(_, v)| v.is_none()).map(|(name, _)| name.to_string()).collect();
-        self.nonces += 1;
-        let reply = build(variant, kind, self.nonces, cache.revision(), frames, removed);
-        let topic = &mut self.topics[kind.place()];
-        topic.newest = self.nonces;
-        topic.sent.push_back(Sent { nonce: self.nonces, items });
+        self.last_nonce_sent += 1;
+        let reply =
+            build_reply(variant, kind, self.last_nonce_sent, cache.revision(), resource_fields, removed);
+        let subscription = &mut self.subscriptions[kind.index()];
+        subscription.last_nonce = self.last_nonce_sent;
+        subscription.unacked.push_back(UnackedReply { nonce: self.last_nonce_sent, items });
         Some(reply)
     }
 
-    /// Renews the TTL of a resource that the client holds. `None` while any reply of the type is unanswered, or
-    /// anything is due that was not sent: so a renewal is sent by an end that has heard the answer to the last
-    /// one, and confirms all that was said before. The client's lease rests on both (`docs/xds.md`, the lease).
+    /// Renews the TTL of a resource that the client holds. `None` while any reply of the type is unacknowledged
+    /// or anything is pending. So a renewal is sent only after the answer to the last one has arrived, and it
+    /// confirms everything that was sent before. The client's lease depends on both (`docs/xds.md`, the lease).
     pub fn heartbeat(&mut self, kind: Kind, name: &str, cache: &Cache) -> Option<Reply> {
         let (variant, form) = (self.variant, self.form());
-        if self.topics.iter().any(|topic| !topic.dirty.is_empty() || topic.owed) {
+        if self
+            .subscriptions
+            .iter()
+            .any(|subscription| !subscription.pending.is_empty() || subscription.reply_due)
+        {
             return None;
         }
-        let topic = &mut self.topics[kind.place()];
+        let subscription = &mut self.subscriptions[kind.index()];
         let entry = cache.get(kind, name)?;
-        let held = topic.holds.get(name).and_then(|held| held.0.as_ref()) == Some(&entry.version);
-        if !held || !topic.sent.is_empty() {
+        let held =
+            subscription.client_versions.get(name).and_then(|held| held.0.as_ref()) == Some(&entry.version);
+        if !held || !subscription.unacked.is_empty() {
             return None;
         }
-        self.nonces += 1;
-        topic.newest = self.nonces;
-        topic.sent.push_back(Sent { nonce: self.nonces, items: Vec::new() });
-        Some(build(variant, kind, self.nonces, cache.revision(), vec![entry.beat(form)], Vec::new()))
+        self.last_nonce_sent += 1;
+        subscription.last_nonce = self.last_nonce_sent;
+        subscription.unacked.push_back(UnackedReply { nonce: self.last_nonce_sent, items: Vec::new() });
+        Some(build_reply(
+            variant,
+            kind,
+            self.last_nonce_sent,
+            cache.revision(),
+            vec![entry.heartbeat_field(form)],
+            Vec::new(),
+        ))
     }
 
+    /// The form in which this stream carries resources.
     fn form(&self) -> Form {
         match (self.variant, self.wrapped) {
             (Variant::Incremental, _) => Form::Incremental,
@@ -482,45 +565,46 @@
         }
     }
 
-    /// Replies that wait for an answer.
-    pub fn unanswered(&self) -> usize {
-        self.topics.iter().map(|topic| topic.sent.len()).sum()
+    /// Number of replies that are not acknowledged yet.
+    pub fn unacked_replies(&self) -> usize {
+        self.subscriptions.iter().map(|subscription| subscription.unacked.len()).sum()
     }
 }
 
-fn kind_of(url: &str) -> Result<Kind, StreamError> {
-    Kind::of_type_url(url).ok_or_else(|| StreamError::UnknownType(url.chars().take(120).collect()))
+fn kind_from_url(url: &str) -> Result<Kind, StreamError> {
+    Kind::from_type_url(url).ok_or_else(|| StreamError::UnknownType(url.chars().take(120).collect()))
 }
 
 /// A reply: its own fields, and its resources in the encoding that all streams share.
 #[derive(Clone, Debug)]
 pub struct Reply {
     head: Vec<u8>,
-    frames: Vec<Bytes>,
+    resource_fields: Vec<Bytes>,
 }
 
 impl Reply {
-    /// Resources that it carries.
+    /// Number of resources that it carries.
     pub fn resources(&self) -> usize {
-        self.frames.len()
+        self.resource_fields.len()
     }
 
-    /// The message, in one piece. Fields of a message may stand in any order.
+    /// The encoded message. The fields of a message may be in any order.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes =
-            Vec::with_capacity(self.head.len() + self.frames.iter().map(Bytes::len).sum::<usize>());
+            Vec::with_capacity(self.head.len() + self.resource_fields.iter().map(Bytes::len).sum::<usize>());
         bytes.extend_from_slice(&self.head);
-        self.frames.iter().for_each(|frame| bytes.extend_from_slice(frame));
+        self.resource_fields.iter().for_each(|field| bytes.extend_from_slice(field));
         bytes
     }
 }
 
-fn build(
+/// Encodes the fields of a reply other than its resources.
+fn build_reply(
     variant: Variant,
     kind: Kind,
     nonce: u64,
     revision: u64,
-    frames: Vec<Bytes>,
+    resource_fields: Vec<Bytes>,
     removed: Vec<String>,
 ) -> Reply {
     let (type_url, nonce, version) = (kind.type_url().to_string(), nonce.to_string(), revision.to_string());
@@ -543,5 +627,5 @@
         }
         .encode_to_vec(),
     };
-    Reply { head, frames }
+    Reply { head, resource_fields }
 }
--- a/crates/whinhill-xds/tests/field_numbers.rs
+++ b/crates/whinhill-xds/tests/field_numbers.rs
@@ -1,15 +1,15 @@
-//! Our messages against `envoy-types`: what one writes the other reads alike. ORCA's report is not in that
-//! library; its two fields stand as the specification numbers them.
+//! Checks our messages against `envoy-types`: each library decodes what the other encodes. ORCA's report is not
+//! in that library; its two fields have the numbers of the specification.
 
 use std::collections::HashMap;
 
 use envoy_types::pb::envoy::config::{cluster, core, endpoint, listener, route};
 use envoy_types::pb::envoy::service::{discovery, load_stats};
 use prost::Message;
-use whinhill_xds::proto::{self, text};
+use whinhill_xds::proto::{self, string_value};
 
-/// Encodes with ours, decodes with theirs, encodes with theirs, decodes with ours.
-fn same<Ours: Message + Default + PartialEq + std::fmt::Debug, Theirs: Message + Default>(
+/// Encodes with our type, decodes with theirs, encodes with theirs and decodes with ours.
+fn round_trip<Ours: Message + Default + PartialEq + std::fmt::Debug, Theirs: Message + Default>(
     ours: Ours,
 ) -> Theirs {
     let theirs = Theirs::decode(ours.encode_to_vec().as_slice()).unwrap();
@@ -22,7 +22,7 @@
     proto::Node {
         id: "p".into(),
         cluster: "c".into(),
-        metadata: Some(proto::Struct { fields: [("k".to_string(), text("v"))].into() }),
+        metadata: Some(proto::Struct { fields: [("k".to_string(), string_value("v"))].into() }),
         locality: Some(proto::Locality { region: "r".into(), zone: "z".into(), sub_zone: "s".into() }),
         user_agent_name: "whinhill".into(),
         client_features: vec!["f".into()],
@@ -46,13 +46,13 @@
     node().locality
 }
 
-fn meta() -> Option<proto::Metadata> {
-    Some(proto::metadata("whinhill", [("tries", proto::number(2.0)), ("writes", proto::flag(true))]))
+fn whinhill_metadata() -> Option<proto::Metadata> {
+    Some(proto::metadata("whinhill", [("tries", proto::number(2.0)), ("writes", proto::bool_value(true))]))
 }
 
 #[test]
-fn discovery_messages() {
-    let theirs: discovery::v3::DiscoveryRequest = same(proto::DiscoveryRequest {
+fn discovery_messages_match_envoy_types() {
+    let theirs: discovery::v3::DiscoveryRequest = round_trip(proto::DiscoveryRequest {
         version_info: "1".into(),
         node: Some(node()),
         resource_names: vec!["a".into()],
@@ -63,7 +63,7 @@
     assert_eq!(theirs.response_nonce, "n");
     assert_eq!(theirs.error_detail.unwrap().message, "bad");
     assert_eq!(theirs.node.unwrap().locality.unwrap().sub_zone, "s");
-    let theirs: discovery::v3::DiscoveryResponse = same(proto::DiscoveryResponse {
+    let theirs: discovery::v3::DiscoveryResponse = round_trip(proto::DiscoveryResponse {
         version_info: "1".into(),
         resources: vec![any()],
         type_url: "t".into(),
@@ -71,7 +71,7 @@
         control_plane: Some(proto::ControlPlane { identifier: "w".into() }),
     });
     assert_eq!(theirs.control_plane.unwrap().identifier, "w");
-    let theirs: discovery::v3::DeltaDiscoveryRequest = same(proto::DeltaDiscoveryRequest {
+    let theirs: discovery::v3::DeltaDiscoveryRequest = round_trip(proto::DeltaDiscoveryRequest {
         node: Some(node()),
         type_url: "t".into(),
         resource_names_subscribe: vec!["a".into()],
@@ -88,7 +88,7 @@
         name: "a".into(),
         ttl: Some(proto::Duration { seconds: 4, nanos: 5 }),
     };
-    let theirs: discovery::v3::DeltaDiscoveryResponse = same(proto::DeltaDiscoveryResponse {
+    let theirs: discovery::v3::DeltaDiscoveryResponse = round_trip(proto::DeltaDiscoveryResponse {
         system_version_info: "9".into(),
         resources: vec![resource],
         type_url: "t".into(),
@@ -102,48 +102,49 @@
 }
 
 #[test]
-fn resources() {
-    let drop = proto::DropOverload {
+fn resources_match_envoy_types() {
+    let drop_overload = proto::DropOverload {
         category: "level".into(),
         drop_percentage: Some(proto::FractionalPercent { numerator: 5, denominator: 2 }),
     };
-    let line = proto::LbEndpoint {
+    let lb_endpoint = proto::LbEndpoint {
         endpoint: Some(proto::Endpoint { address: Some(address()) }),
         health_status: proto::HealthStatus::Draining as i32,
-        metadata: meta(),
+        metadata: whinhill_metadata(),
         load_balancing_weight: Some(proto::UInt32Value { value: 3 }),
     };
-    let theirs: endpoint::v3::ClusterLoadAssignment = same(proto::ClusterLoadAssignment {
+    let theirs: endpoint::v3::ClusterLoadAssignment = round_trip(proto::ClusterLoadAssignment {
         cluster_name: "svc/1/look".into(),
         endpoints: vec![proto::LocalityLbEndpoints {
             locality: locality(),
-            lb_endpoints: vec![line],
+            lb_endpoints: vec![lb_endpoint],
             load_balancing_weight: Some(proto::UInt32Value { value: 2 }),
         }],
-        policy: Some(proto::AssignmentPolicy { drop_overloads: vec![drop] }),
+        policy: Some(proto::AssignmentPolicy { drop_overloads: vec![drop_overload] }),
     });
     assert_eq!(theirs.policy.unwrap().drop_overloads[0].drop_percentage.as_ref().unwrap().numerator, 5);
     assert_eq!(theirs.endpoints[0].lb_endpoints[0].health_status, core::v3::HealthStatus::Draining as i32);
     let ads = proto::ConfigSource { ads: Some(proto::AggregatedConfigSource {}), resource_api_version: 2 };
-    let theirs: cluster::v3::Cluster = same(proto::Cluster {
+    let theirs: cluster::v3::Cluster = round_trip(proto::Cluster {
         name: "n".into(),
         r#type: 3,
         eds_cluster_config: Some(proto::EdsClusterConfig {
             eds_config: Some(ads.clone()),
             service_name: "s".into(),
         }),
-        metadata: meta(),
+        metadata: whinhill_metadata(),
     });
     assert_eq!(theirs.eds_cluster_config.unwrap().service_name, "s");
     assert_eq!(theirs.cluster_discovery_type, Some(cluster::v3::cluster::ClusterDiscoveryType::Type(3)));
-    let theirs: listener::v3::Listener = same(proto::Listener {
+    let theirs: listener::v3::Listener = round_trip(proto::Listener {
         name: "l".into(),
         api_listener: Some(proto::ApiListener { api_listener: Some(any()) }),
     });
     assert_eq!(theirs.api_listener.unwrap().api_listener.unwrap().value, [1, 2]);
     type Manager = envoy_types::pb::envoy::extensions::filters::network::http_connection_manager::v3::HttpConnectionManager;
     let rds = proto::Rds { config_source: Some(ads), route_config_name: "r".into() };
-    let theirs: Manager = same(proto::HttpConnectionManager { stat_prefix: "p".into(), rds: Some(rds) });
+    let theirs: Manager =
+        round_trip(proto::HttpConnectionManager { stat_prefix: "p".into(), rds: Some(rds) });
     assert_eq!(theirs.stat_prefix, "p");
     assert!(theirs.route_specifier.is_some());
     let action = proto::RouteAction {
@@ -154,15 +155,15 @@
             num_retries: Some(proto::UInt32Value { value: 1 }),
         }),
     };
-    let one = proto::Route {
+    let look_route = proto::Route {
         r#match: Some(proto::RouteMatch { path_specifier: Some(proto::PathSpecifier::Path("/a/b".into())) }),
         route: Some(action),
-        metadata: meta(),
+        metadata: whinhill_metadata(),
         name: "look".into(),
     };
-    let host = proto::VirtualHost { name: "v".into(), domains: vec!["*".into()], routes: vec![one] };
+    let host = proto::VirtualHost { name: "v".into(), domains: vec!["*".into()], routes: vec![look_route] };
     let theirs: route::v3::RouteConfiguration =
-        same(proto::RouteConfiguration { name: "r".into(), virtual_hosts: vec![host] });
+        round_trip(proto::RouteConfiguration { name: "r".into(), virtual_hosts: vec![host] });
     let route = &theirs.virtual_hosts[0].routes[0];
     assert_eq!(route.name, "look");
     let Some(route::v3::route::Action::Route(action)) = &route.action else { panic!("no route action") };
@@ -173,13 +174,13 @@
 }
 
 #[test]
-fn load_reports_and_health() {
+fn load_reports_match_envoy_types() {
     let metric = proto::EndpointLoadMetricStats {
         metric_name: "wait_ms".into(),
         num_requests_finished_with_metric: 3,
         total_metric_value: 4.5,
     };
-    let at = proto::UpstreamEndpointStats {
+    let endpoint_stats = proto::UpstreamEndpointStats {
         address: Some(address()),
         total_successful_requests: 1,
         total_requests_in_progress: 2,
@@ -194,7 +195,7 @@
             total_successful_requests: 1,
             total_requests_in_progress: 2,
             total_error_requests: 3,
-            upstream_endpoint_stats: vec![at],
+            upstream_endpoint_stats: vec![endpoint_stats],
             total_issued_requests: 4,
         }],
         total_dropped_requests: 5,
@@ -202,12 +203,12 @@
         dropped_requests: vec![proto::DroppedRequests { category: "level".into(), dropped_count: 5 }],
     };
     let theirs: load_stats::v3::LoadStatsRequest =
-        same(proto::LoadStatsRequest { node: Some(node()), cluster_stats: vec![stats] });
+        round_trip(proto::LoadStatsRequest { node: Some(node()), cluster_stats: vec![stats] });
     let server = &theirs.cluster_stats[0].upstream_locality_stats[0].upstream_endpoint_stats[0];
     assert_eq!((server.total_issued_requests, server.total_error_requests), (4, 3));
     assert_eq!(server.load_metric_stats[0].total_metric_value, 4.5);
     assert_eq!(theirs.cluster_stats[0].dropped_requests[0].dropped_count, 5);
-    let theirs: load_stats::v3::LoadStatsResponse = same(proto::LoadStatsResponse {
+    let theirs: load_stats::v3::LoadStatsResponse = round_trip(proto::LoadStatsResponse {
         clusters: vec!["a".into()],
         load_reporting_interval: Some(proto::Duration { seconds: 1, nanos: 0 }),
         report_endpoint_granularity: true,
--- a/crates/whinhill-xds/tests/rubbish.rs
+++ b/crates/whinhill-xds/tests/malformed_messages.rs
@@ -1,4 +1,4 @@
-//! Bytes that a peer may send: none may do more than be refused.
+//! Malformed messages from a peer: at worst they are rejected.
 
 use prost::Message;
 use rand::{Rng, RngCore, SeedableRng};
@@ -41,55 +41,58 @@
     cache
 }
 
-/// Some of a real message's bytes changed, cut or doubled.
-fn mangle(rng: &mut ChaCha8Rng, mut bytes: Vec<u8>) -> Vec<u8> {
+/// Changes, truncates or repeats some bytes of a valid message.
+fn corrupt(rng: &mut ChaCha8Rng, mut bytes: Vec<u8>) -> Vec<u8> {
     for _ in 0..rng.random_range(0..6) {
         if bytes.is_empty() {
             break;
         }
-        let place = rng.random_range(0..bytes.len());
+        let index = rng.random_range(0..bytes.len());
         match rng.random_range(0..3) {
-            0 => bytes[place] = rng.random(),
-            1 => bytes.truncate(place),
-            _ => bytes.extend_from_within(place..),
+            0 => bytes[index] = rng.random(),
+            1 => bytes.truncate(index),
+            _ => bytes.extend_from_within(index..),
         }
     }
     bytes.truncate(1 << 16);
     bytes
 }
 
-fn word(rng: &mut ChaCha8Rng) -> String {
+fn random_name(rng: &mut ChaCha8Rng) -> String {
     ["*", "", "t/0.4/look", "t/9.4/look", "t/reads", "7", "999", "\u{0}"][rng.random_range(0..8)].to_string()
 }
 
-fn words(rng: &mut ChaCha8Rng) -> Vec<String> {
-    (0..rng.random_range(0..4)).map(|_| word(rng)).collect()
+fn random_names(rng: &mut ChaCha8Rng) -> Vec<String> {
+    (0..rng.random_range(0..4)).map(|_| random_name(rng)).collect()
 }
 
 #[test]
-fn a_server_refuses_or_takes_whatever_a_client_says() {
+fn server_accepts_or_rejects_any_client_message() {
     let service = service();
     let cache = cache(&service);
-    let (mut taken, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for seed in 0..3000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let variant = [Variant::Incremental, Variant::StateOfTheWorld][rng.random_range(0..2)];
         let mut stream = ServerStream::new(variant, &[]);
         for _ in 0..20 {
             let type_url = match rng.random_range(0..8) {
-                0 => word(&mut rng),
+                0 => random_name(&mut rng),
                 k => Kind::ALL[k % 4].type_url().to_string(),
             };
             let error_detail =
-                rng.random_bool(0.2).then(|| proto::Status { code: 3, message: word(&mut rng) });
-            let nonce =
-                if rng.random_bool(0.5) { rng.random_range(0..12u32).to_string() } else { word(&mut rng) };
+                rng.random_bool(0.2).then(|| proto::Status { code: 3, message: random_name(&mut rng) });
+            let nonce = if rng.random_bool(0.5) {
+                rng.random_range(0..12u32).to_string()
+            } else {
+                random_name(&mut rng)
+            };
             let bytes = match variant {
                 Variant::Incremental => DeltaDiscoveryRequest {
                     type_url,
-                    resource_names_subscribe: words(&mut rng),
-                    resource_names_unsubscribe: words(&mut rng),
-                    initial_resource_versions: words(&mut rng)
+                    resource_names_subscribe: random_names(&mut rng),
+                    resource_names_unsubscribe: random_names(&mut rng),
+                    initial_resource_versions: random_names(&mut rng)
                         .into_iter()
                         .map(|name| (name, "1.1".into()))
                         .collect(),
@@ -100,35 +103,35 @@
                 .encode_to_vec(),
                 Variant::StateOfTheWorld => DiscoveryRequest {
                     type_url,
-                    resource_names: words(&mut rng),
+                    resource_names: random_names(&mut rng),
                     response_nonce: nonce,
                     error_detail,
                     ..Default::default()
                 }
                 .encode_to_vec(),
             };
-            let Ok(request) = Request::decode(variant, &mangle(&mut rng, bytes)) else { continue };
+            let Ok(request) = Request::decode(variant, &corrupt(&mut rng, bytes)) else { continue };
             match stream.hear(&request, &cache) {
-                Ok(_) => taken += 1,
+                Ok(_) => accepted += 1,
                 Err(_) => {
-                    refused += 1;
+                    rejected += 1;
                     break;
                 }
             }
             if rng.random_bool(0.3) {
                 stream.mark(rng.random());
             }
-            // What is due comes to an end, whatever was asked for.
+            // The replies come to an end, whatever was requested.
             assert!((0..40).any(|_| stream.next(&cache).is_none()), "seed {seed}");
             stream.take_acked(&cache);
             stream.heartbeat(Kind::Route, "t/writes", &cache);
         }
     }
-    assert!(taken > 3000 && refused > 1000, "{taken} {refused}");
+    assert!(accepted > 3000 && rejected > 1000, "{accepted} {rejected}");
 }
 
 #[test]
-fn a_client_refuses_or_takes_whatever_a_server_says() {
+fn client_accepts_or_rejects_any_server_message() {
     let service = service();
     let cache = cache(&service);
     for seed in 0..3000 {
@@ -143,7 +146,7 @@
             server.hear(&request, &cache).unwrap();
         }
         while let Some(response) = server.next(&cache) {
-            let Ok(response) = Response::decode(variant, &mangle(&mut rng, response.encode())) else {
+            let Ok(response) = Response::decode(variant, &corrupt(&mut rng, response.encode())) else {
                 continue;
             };
             let Ok(update) = client.hear(&response) else { continue };
@@ -153,8 +156,8 @@
             }
             client.accept(&update);
         }
-        let mut noise = vec![0; rng.random_range(0..200)];
-        rng.fill_bytes(&mut noise);
-        assert!(read_assignment(&service, "t/0.4/look", "x", &noise).is_err());
+        let mut random_bytes = vec![0; rng.random_range(0..200)];
+        rng.fill_bytes(&mut random_bytes);
+        assert!(read_assignment(&service, "t/0.4/look", "x", &random_bytes).is_err());
     }
 }
