--- a/crates/whinhill-assigner/src/retry.rs
+++ b/crates/whinhill-assigner/src/retry.rs
@@ -1,4 +1,4 @@
-//! Calls that fail while a disk is full or failing, made again until it takes them.
+//! Retries calls that fail while a disk is full or failing.
 
 use std::fmt::Display;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,36 +6,36 @@
 
 use tracing::{info, warn};
 
-/// Between two attempts, as long as an operator hardly notices and a busy disk is left alone.
-const AGAIN: Duration = Duration::from_millis(250);
+/// Delay between two attempts: short enough that an operator hardly notices, long enough to leave a busy disk alone.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a call is made again, and what ends that early.
+/// How long a call is retried, and what ends the retries early.
 pub struct Retry<'a> {
-    /// Real time, from the first attempt.
+    /// How long to retry, from the first attempt.
     pub within: Duration,
-    /// Set from elsewhere: the attempt that is under way is the last.
+    /// Set by another thread: the current attempt is then the last.
     pub stop: &'a AtomicBool,
 }
 
 impl Retry<'_> {
-    /// Makes a call until it succeeds, fails in a way that does not pass, or the time is up: its last result.
+    /// Repeats a call until it succeeds, fails permanently, or the time is up; returns its last result.
     pub fn until_done<T, E: Display>(
         &self,
         what: &str,
         may_pass: impl Fn(&E) -> bool,
         mut call: impl FnMut() -> Result<T, E>,
     ) -> Result<T, E> {
-        let started = Instant::now();
+        let started_at = Instant::now();
         let mut failures = 0_u64;
         loop {
             let result = call();
             match &result {
-                Err(error) if may_pass(error) && !self.is_over(started) => {
+                Err(error) if may_pass(error) && !self.has_ended(started_at) => {
                     if failures == 0 {
                         warn!(%error, "{what} fails, and is tried again");
                     }
                     failures += 1;
-                    std::thread::sleep(AGAIN);
+                    std::thread::sleep(RETRY_DELAY);
                 }
                 Ok(_) if failures > 0 => {
                     info!(failures, "{what} succeeds again");
@@ -46,7 +46,7 @@
         }
     }
 
-    fn is_over(&self, started: Instant) -> bool {
-        self.stop.load(Ordering::Relaxed) || started.elapsed() >= self.within
+    fn has_ended(&self, started_at: Instant) -> bool {
+        self.stop.load(Ordering::Relaxed) || started_at.elapsed() >= self.within
     }
 }
--- a/crates/whinhill-assigner/src/status.rs
+++ b/crates/whinhill-assigner/src/status.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One line of figures; counts are since the start.
+/// One line of the status file; counts are since the start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Status {
     pub name: String,
@@ -15,28 +15,28 @@
     pub nacks: u64,
     pub streams: u64,
     pub stale_acks: u64,
-    /// Proxies found to hold other tables than they had acknowledged.
+    /// How often a proxy was found to have other tables than it had acknowledged.
     pub differing: u64,
     pub lines_sent: u64,
     pub backlog: u64,
     pub backlog_most: u64,
-    /// Lines of full sets, and how often one waited for its pace.
+    /// Lines of full sets sent, and how often sending one was delayed.
     pub full_lines_sent: u64,
     pub full_sets_waited: u64,
-    /// Versions so far, and what the kept ones take.
+    /// The number of the newest version, and the size of the versions in the history.
     pub versions: u64,
     pub history_kb: u64,
     pub grants_waiting: u64,
-    /// Tries told by load reports: in all, given to the decisions, waiting, and of the kinds that move nothing.
+    /// Tries in load reports: all, passed on to the module, queued, and the kinds that are not passed on.
     pub reports_offered: u64,
     pub reports_given: u64,
     pub reports_waiting: u64,
     pub reports_late: u64,
     pub reports_doubted: u64,
-    /// The part of the expected load that was heard, in percent, and the longest lag of a proxy that is heard.
+    /// The part of the expected load that was reported, in percent, and the longest lag of a proxy that reports.
     pub reports_heard_percent: f64,
     pub reports_lag_ms_most: u64,
-    /// Proxies whose report stream stands and says nothing, and those whose is gone.
+    /// Proxies whose report stream is open without reports, and those whose stream is gone.
     pub proxies_silent: u64,
     pub proxies_cut: u64,
     pub batches: u64,
@@ -44,12 +44,12 @@
     pub batch_us_sum: u64,
     pub bytes_sent: u64,
     pub store_failures: u64,
-    /// Attempts to keep the history that the disk refused, and status lines that it did not take.
+    /// Attempts to write the history that the disk refused, and status lines that were not written.
     pub history_failures: u64,
     pub status_lost: u64,
-    /// Owners told before the history had them.
+    /// Owners published before the history file had them.
     pub told_unkept: u64,
-    /// From an order to its answer by one proxy, and by the last of those that had joined.
+    /// Time from an order to its acknowledgement by one proxy, and by the last of those that had joined.
     pub answer_us_p50: u64,
     pub answer_us_p99: u64,
     pub all_us_p50: u64,
@@ -59,15 +59,16 @@
     pub rss_kb: u64,
 }
 
-/// Processor time in milliseconds and resident memory in KiB, as Linux tells them; 0 where it does not.
+/// Processor time in milliseconds and resident memory in KiB of this process, from Linux's `/proc`; 0 elsewhere.
 pub fn process_figures() -> (u64, u64) {
     process_figures_of("self")
 }
 
-/// The same of another process, by its id.
+/// Like [`process_figures`], for the process with this id.
 pub fn process_figures_of(process: &str) -> (u64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The fields after the name in brackets: 14 and 15 of all are the user's and the system's ticks, of 10 ms.
+    // Fields 14 and 15 are the user and system time in ticks of 10 ms. The command name in brackets may contain spaces,
+    // so only the fields after it are split.
     let fields: Vec<u64> = stat
         .rsplit_once(')')
         .map(|(_, rest)| rest.split_whitespace().map(|field| field.parse().unwrap_or(0)).collect())
@@ -79,24 +80,28 @@
     (ticks * 10, rss.unwrap_or(0))
 }
 
-/// Counters that several threads raise.
+/// Counters that several threads update.
 #[derive(Debug, Default)]
 pub struct Counters {
     pub nacks: AtomicU64,
     pub streams: AtomicU64,
+    /// Stale acknowledgements.
     pub stale: AtomicU64,
     pub differing: AtomicU64,
     pub bytes: AtomicU64,
     pub store_failures: AtomicU64,
     pub history_failures: AtomicU64,
+    /// Slices that this assigner has custody of.
     pub slices: AtomicU64,
 }
 
 impl Counters {
+    /// Adds to a counter.
     pub fn add(counter: &AtomicU64, count: u64) {
         counter.fetch_add(count, Ordering::Relaxed);
     }
 
+    /// Reads a counter.
     pub fn get(counter: &AtomicU64) -> u64 {
         counter.load(Ordering::Relaxed)
     }
