--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -1,4 +1,4 @@
-//! Puts an assigner together: its threads, and the loop of the one that decides.
+//! Starts and stops an assigner: its threads and listeners, and the loop of the decision thread.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,41 +20,44 @@
 use whinhill_transport::{Code, Drivers, Limits, Listener, ServerCall, Trailers, Workers};
 use whinhill_xds::{Entry, Kind};
 
-use crate::ask::{Answer, Ask, ASK_PATH};
-use crate::book::Bookkeeper;
+use crate::acked_versions::{AckedVersions, ACK_CHECK_INTERVAL};
+use crate::atomic_file::write_atomically;
 use crate::channel::Channel;
-use crate::chronicle::Numbered;
 use crate::config::{AssignerConfig, Fault};
 use crate::core::{Core, Effects, Input};
+use crate::custody_thread::{CustodyLease, CustodyThread};
 use crate::history_file::HistoryFile;
-use crate::holdings::{Holdings, LOOK};
+use crate::history_recorder::NumberedUpdate;
+use crate::history_writer::HistoryWriter;
 use crate::hub::{Hub, HubConfig};
 use crate::last_list::LastList;
-use crate::names::PAST;
+use crate::name_index::CLOCK_BASE;
+use crate::operator_api::{Answer, Ask, ASK_PATH};
 use crate::probes::Prober;
 use crate::retry::Retry;
-use crate::roster::Feed;
+use crate::roster::RosterFeed;
 use crate::status::{process_figures, Counters, Status};
 use crate::status_file::StatusFile;
-use crate::stewards::{Charge, Steward};
-use crate::wall::unix_ms;
-use crate::whole_file::write_whole;
+use crate::wall_clock::unix_ms;
 
-/// Inputs that may wait for the decision thread; whoever brings more waits.
-const INBOX: usize = 8192;
-/// Grants that may wait for the store's thread; more wait with the one that decides, one a slice.
-const GRANTS: usize = 4096;
-/// Pages that may wait for the file; what is over is folded into the next.
-const PAGES: usize = 64;
-/// Operators' questions in hand at a time, and how long one may take.
-const ASKS: usize = 16;
-const ASK_WITHIN: Duration = Duration::from_secs(10);
-/// The shortest time between two batches: what comes meanwhile is decided together.
-const ROUND: Duration = Duration::from_millis(2);
-/// How long a disk may refuse what a start needs. Whoever supervises the process then hears of it.
-const DISK_WITHIN: Duration = Duration::from_secs(30);
-const STACK: usize = 512 << 10;
+/// Inputs that may be queued for the decision thread; a sender blocks while the queue is full.
+const MAX_QUEUED_INPUTS: usize = 8192;
+/// Grants that may be queued for the custody thread; the decision thread holds further ones, one for each slice.
+const MAX_QUEUED_GRANTS: usize = 4096;
+/// History updates that may be queued for the file; further ones are merged into the next update.
+const MAX_QUEUED_UPDATES: usize = 64;
+/// Operators' requests that may be in flight.
+const MAX_OPERATOR_REQUESTS: usize = 16;
+/// How long each step of an operator's request may take.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(10);
+/// The shortest time that the loop waits for an input; inputs that are queued by then are handled as one batch.
+const MIN_INPUT_WAIT: Duration = Duration::from_millis(2);
+/// How long a start retries while the disk refuses; then it fails, so that the supervisor of the process notices.
+const DISK_RETRY_DURATION: Duration = Duration::from_secs(30);
+/// The stack size of each thread.
+const THREAD_STACK_BYTES: usize = 512 << 10;
 
+/// Why an assigner could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("the configuration has {} faults, the first: {}", .0.len(), .0.first().map(Fault::to_string).unwrap_or_default())]
@@ -69,16 +72,16 @@
     Io(#[from] io::Error),
 }
 
-/// Tells `whinhill table` and its like where operators are listened to.
-fn keep_operators_addr(path: &Path, addr: SocketAddr, stop: &AtomicBool) {
+/// Writes the address of the operators' listener to a file, for `whinhill table` and similar commands.
+fn retry_writing_operators_addr(path: &Path, addr: SocketAddr, stop: &AtomicBool) {
     let retry = Retry { within: Duration::MAX, stop };
-    let write = || write_whole(path, &addr.to_string());
+    let write = || write_atomically(path, &addr.to_string());
     if let Err(error) = retry.until_done("writing the operators' address", may_pass_on_disk, write) {
-        warn!(path = %path.display(), %error, "the operators' address is not written");
+        warn!(path = %path.display(), %error, "the operators' address could not be written");
     }
 }
 
-/// A running assigner. [`Assigner::stop`] ends it in order.
+/// A running assigner. [`Assigner::stop`] shuts it down in order.
 pub struct Assigner {
     addr: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -89,7 +92,7 @@
 }
 
 impl Assigner {
-    /// Starts one.
+    /// Starts an assigner.
     ///
     /// # Errors
     /// As for [`Assigner::start_unless_stopped`].
@@ -97,13 +100,13 @@
         Self::start_unless_stopped(config, &AtomicBool::new(false))
     }
 
-    /// Starts one; what a disk refuses for the moment is tried again until `told_to_stop` is set.
+    /// Starts an assigner; temporary disk errors are retried until `stop_requested` is set.
     ///
     /// # Errors
-    /// When the configuration has faults, no socket or thread can be had, or the history cannot be opened.
+    /// When the configuration is invalid, a socket or thread cannot be created, or the history cannot be opened.
     pub fn start_unless_stopped(
         config: AssignerConfig,
-        told_to_stop: &AtomicBool,
+        stop_requested: &AtomicBool,
     ) -> Result<Self, StartError> {
         let faults = config.check();
         if !faults.is_empty() {
@@ -118,35 +121,36 @@
         let seed = config.seed.unwrap_or_else(|| rand::rng().random());
         let life = rand::rng().random();
         info!(name = %config.name, life = format!("{life:x}"), seed, "assigner starts");
-        let (stop, charge) = (Arc::new(AtomicBool::new(false)), Arc::new(Charge::default()));
+        let (stop, custody_lease) = (Arc::new(AtomicBool::new(false)), Arc::new(CustodyLease::default()));
         let counters = Arc::new(Counters::default());
-        let (inputs, inbox) = bounded(INBOX);
-        let (grants, to_store) = bounded(GRANTS);
+        let (inputs, inbox) = bounded(MAX_QUEUED_INPUTS);
+        let (grants, grants_for_store) = bounded(MAX_QUEUED_GRANTS);
         let mut core = Core::new(&config, seed)?;
-        let mut keeping = None;
+        let mut history_persistence = None;
         if let Some(dir) = &config.state_dir {
             std::fs::create_dir_all(dir)?;
             let path = dir.join("history.redb");
             let limits = config.history.limits();
-            let failed = |error| StartError::History { path: path.display().to_string(), error };
-            let retry = Retry { within: DISK_WITHIN, stop: told_to_stop };
+            let history_error = |error| StartError::History { path: path.display().to_string(), error };
+            let retry = Retry { within: DISK_RETRY_DURATION, stop: stop_requested };
             let (file, history, rollbacks) =
-                HistoryFile::open_again(&path, limits, &retry).map_err(failed)?;
+                HistoryFile::open_with_retry(&path, limits, &retry).map_err(history_error)?;
             info!(
                 version = history.current().id().number,
                 kept = history.entries().count(),
                 rollbacks = rollbacks.iter().filter(|rollback| !rollback.finished()).count(),
-                "history taken up"
+                "history loaded"
             );
-            core.restore(history, rollbacks, PAST, unix_ms());
-            let (to_book, pages) = bounded(PAGES);
+            core.restore(history, rollbacks, CLOCK_BASE, unix_ms());
+            let (to_history_writer, queued_updates) = bounded(MAX_QUEUED_UPDATES);
             let (inputs, counters, stop) = (inputs.clone(), counters.clone(), stop.clone());
-            keeping = Some((to_book, Bookkeeper { file, pages, inputs, counters, stop }));
+            history_persistence =
+                Some((to_history_writer, HistoryWriter { file, queued_updates, inputs, counters, stop }));
         }
         let start = Instant::now();
-        let (asks, asked) = bounded(ASKS);
+        let (requests_sender, requests) = bounded(MAX_OPERATOR_REQUESTS);
         let operators = match config.operators {
-            Some(addr) => Some(listen_to_operators(&config.name, addr, &drivers, asks)?),
+            Some(addr) => Some(listen_to_operators(&config.name, addr, &drivers, requests_sender)?),
             None => None,
         };
         let service = core.service().clone();
@@ -155,25 +159,25 @@
             service.clone(),
             inputs.clone(),
             counters.clone(),
-            charge.clone(),
+            custody_lease.clone(),
             HubConfig {
-                answer_within: ms(config.answer_within_ms),
-                proxies_most: config.proxies_most,
-                report_every: ms(config.report_period_ms),
+                ack_timeout: ms(config.answer_within_ms),
+                max_proxies: config.proxies_most,
+                report_period: ms(config.report_period_ms),
                 full_lines_per_s: config.channel.full_lines_per_s(),
                 start,
-                base: PAST,
+                clock_base: CLOCK_BASE,
             },
         ));
         {
             let mut cache = hub.cache.write().unwrap_or_else(PoisonError::into_inner);
             for (kind, name, entry) in service.static_resources() {
-                // Of another life it is another version, so that no renewal extends what a former life gave.
+                // The version differs for each incarnation, so that no renewal extends what a former one published.
                 let version = format!("{life:x}-{}", entry.version).into();
                 cache.set(kind, name, Entry { version, ..entry });
             }
         }
-        let accept = hub.clone();
+        let accepting_hub = hub.clone();
         let limits = Limits {
             connections_most: config.proxies_most * 2 + 16,
             idle: Duration::from_secs(30),
@@ -181,18 +185,20 @@
             keep_alive_answer: Duration::from_secs(2),
             ..Limits::default()
         };
-        let listener =
-            Listener::start(&config.name, config.listen, limits, &drivers, move |call| accept.accept(call));
+        let listener = Listener::start(&config.name, config.listen, limits, &drivers, move |call| {
+            accepting_hub.accept(call)
+        });
         let listener = listener.map_err(|error| StartError::Listen { addr: config.listen, error })?;
         let addr = listener.addr();
         let mut threads = Vec::new();
         let mut spawn = |name: &str, run: Box<dyn FnOnce() + Send>| -> io::Result<()> {
-            let builder = thread::Builder::new().name(format!("{}-{name}", config.name)).stack_size(STACK);
+            let builder =
+                thread::Builder::new().name(format!("{}-{name}", config.name)).stack_size(THREAD_STACK_BYTES);
             threads.push(builder.spawn(run)?);
             Ok(())
         };
-        let listed = Arc::new(AtomicBool::new(false));
-        let steward = Steward {
+        let list_published = Arc::new(AtomicBool::new(false));
+        let custody_thread = CustodyThread {
             store: Box::new(store) as Box<dyn Store>,
             custody: Custody::new(CustodyConfig {
                 me: Identity { name: config.name.clone(), life },
@@ -202,51 +208,51 @@
                 margin: ms(config.custody.margin_ms),
                 step: config.custody.step,
             }),
-            charge,
-            grants: to_store,
+            lease: custody_lease,
+            grants: grants_for_store,
             inputs: inputs.clone(),
             counters: counters.clone(),
             stop: stop.clone(),
             start,
-            base: PAST,
-            alive: false,
-            well: true,
-            listed: listed.clone(),
+            clock_base: CLOCK_BASE,
+            registered: false,
+            store_healthy: true,
+            list_published: list_published.clone(),
         };
-        let (roster_in, roster_out) = bounded(16);
-        let (keeping_list, last_list) = config.state_dir.as_deref().map(LastList::new).unzip();
-        let feed = Feed {
+        let (roster_sender, roster_receiver) = bounded(16);
+        let (list_mailbox, last_list) = config.state_dir.as_deref().map(LastList::new).unzip();
+        let roster_feed = RosterFeed {
             config: config.roster.clone(),
-            last: last_list.as_ref().map(LastList::read).unwrap_or_default(),
-            keeping: keeping_list,
-            inputs: roster_in,
+            last_list: last_list.as_ref().map(LastList::read).unwrap_or_default(),
+            mailbox: list_mailbox,
+            inputs: roster_sender,
             stop: stop.clone(),
             drivers: drivers.clone(),
             node: config.name.clone(),
-            listed,
+            list_published,
         };
-        let (to_book, bookkeeper) = match keeping {
-            Some((to_book, bookkeeper)) => (Some(to_book), Some(bookkeeper)),
+        let (to_history_writer, history_writer) = match history_persistence {
+            Some((to_history_writer, history_writer)) => (Some(to_history_writer), Some(history_writer)),
             None => (None, None),
         };
-        let decider = Decider {
+        let decision_thread = DecisionThread {
             core,
-            to_book,
-            page: None,
-            kept: 0,
-            asked,
-            asking: BTreeMap::new(),
-            answers: Vec::new(),
-            holdings: Holdings::default(),
-            questions: 0,
-            next_look: Duration::ZERO,
+            to_history_writer,
+            pending_update: None,
+            persisted_seq: 0,
+            requests,
+            answer_senders: BTreeMap::new(),
+            pending_answers: Vec::new(),
+            acked_versions: AckedVersions::default(),
+            last_request_id: 0,
+            next_ack_check: Duration::ZERO,
             channel: Channel::new(config.channel.lines_per_s, config.channel.head),
-            names: BTreeMap::new(),
+            proxy_names: BTreeMap::new(),
             hub: hub.clone(),
             inbox,
-            roster: roster_out,
+            roster: roster_receiver,
             grants,
-            owed: BTreeMap::new(),
+            unsent_grants: BTreeMap::new(),
             prober: Prober::new(drivers, inputs),
             counters,
             status: Status { name: config.name.clone(), ..Status::default() },
@@ -254,39 +260,40 @@
             start,
             stop: stop.clone(),
         };
-        spawn("decide", Box::new(move || decider.run()))?;
+        spawn("decide", Box::new(move || decision_thread.run()))?;
         if let Some(last_list) = last_list {
             spawn("last-list", Box::new(move || last_list.run()))?;
         }
-        spawn("roster", Box::new(move || feed.run()))?;
-        spawn("store", Box::new(move || steward.run()))?;
-        if let Some(bookkeeper) = bookkeeper {
-            spawn("history", Box::new(move || bookkeeper.run()))?;
+        spawn("roster", Box::new(move || roster_feed.run()))?;
+        spawn("store", Box::new(move || custody_thread.run()))?;
+        if let Some(history_writer) = history_writer {
+            spawn("history", Box::new(move || history_writer.run()))?;
         }
         if let (Some(listener), Some(dir)) = (&operators, &config.state_dir) {
             let (path, addr, stop) = (dir.join("operators"), listener.addr(), stop.clone());
-            if write_whole(&path, &addr.to_string()).is_err() {
-                spawn("operators", Box::new(move || keep_operators_addr(&path, addr, &stop)))?;
+            if write_atomically(&path, &addr.to_string()).is_err() {
+                spawn("operators", Box::new(move || retry_writing_operators_addr(&path, addr, &stop)))?;
             }
-            info!(%addr, "operators are listened to");
+            info!(%addr, "listening for operators");
         }
         info!(%addr, "assigner listens");
         Ok(Assigner { addr, stop, hub, listener: Some(listener), operators, threads })
     }
 
+    /// The address that proxies connect to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Proxies with a stream.
+    /// The number of proxies that have a table stream.
     pub fn connected(&self) -> usize {
         self.hub.connected()
     }
 
-    /// Ends it in order: nothing is granted half-way, custody is given up, streams are closed.
+    /// Shuts down in order: no grant is left half done, custody is released, streams are closed.
     pub fn stop(mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // The store's thread ends last of those that tell the decision thread; that one waits for it.
+        // The decision thread ends only after the custody thread has released all slices.
         while let Some(thread) = self.threads.pop() {
             thread.thread().unpark();
             if thread.join().is_err() {
@@ -295,9 +302,9 @@
         }
         self.operators = None;
         self.hub.close();
-        // Streams say that they end; a proxy that does not read is not waited for.
-        let until = Instant::now() + Duration::from_millis(500);
-        while self.hub.connected() > 0 && Instant::now() < until {
+        // Streams send their end; a proxy that does not read is not waited for.
+        let deadline = Instant::now() + Duration::from_millis(500);
+        while self.hub.connected() > 0 && Instant::now() < deadline {
             thread::park_timeout(Duration::from_millis(10));
         }
         thread::park_timeout(Duration::from_millis(50));
@@ -306,77 +313,82 @@
     }
 }
 
-/// An operator's question, and where its answer goes.
-type Question = (Ask, Sender<Answer>);
+/// An operator's request and the channel for its answer.
+type OperatorCall = (Ask, Sender<Answer>);
 
+/// Listens for operators' requests.
 fn listen_to_operators(
     name: &str,
     addr: SocketAddr,
     drivers: &Drivers,
-    asks: Sender<Question>,
+    requests: Sender<OperatorCall>,
 ) -> Result<Listener, StartError> {
-    let workers = Workers::new("operator", ASKS, whinhill_transport::CALL_STACK);
-    let limits = Limits { connections_most: ASKS, message_most: 1 << 20, ..Limits::default() };
+    let workers = Workers::new("operator", MAX_OPERATOR_REQUESTS, whinhill_transport::CALL_STACK);
+    let limits =
+        Limits { connections_most: MAX_OPERATOR_REQUESTS, message_most: 1 << 20, ..Limits::default() };
     let handler = move |call: ServerCall| {
-        let asks = asks.clone();
+        let requests = requests.clone();
         let full =
-            |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many questions", Trailers::new());
-        workers.hand(call, move |call| answer_operator(call, &asks), full);
+            |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many requests", Trailers::new());
+        workers.hand(call, move |call| answer_operator(call, &requests), full);
     };
     Listener::start(&format!("{name}-operators"), addr, limits, drivers, handler)
         .map_err(|error| StartError::Listen { addr, error })
 }
 
-fn answer_operator(mut call: ServerCall, asks: &Sender<Question>) {
+/// Passes an operator's request to the decision thread and returns its answer.
+fn answer_operator(mut call: ServerCall, requests: &Sender<OperatorCall>) {
     if call.path() != ASK_PATH {
         return call.refuse(Code::Unimplemented, "no such method", Trailers::new());
     }
-    let asked = call.message(ASK_WITHIN).map_err(|error| error.to_string());
-    let asked = asked.and_then(|message| {
-        serde_json::from_slice::<Ask>(&message).map_err(|error| format!("not a question: {error}"))
+    let message = call.message(OPERATOR_TIMEOUT).map_err(|error| error.to_string());
+    let decoded = message.and_then(|message| {
+        serde_json::from_slice::<Ask>(&message).map_err(|error| format!("not a valid request: {error}"))
     });
-    let ask = match asked {
-        Ok(ask) => ask,
-        Err(why) => return call.refuse(Code::InvalidArgument, &why, Trailers::new()),
+    let request = match decoded {
+        Ok(request) => request,
+        Err(reason) => return call.refuse(Code::InvalidArgument, &reason, Trailers::new()),
     };
-    let (answer, answered) = bounded(1);
-    let told = asks.send_timeout((ask, answer), ASK_WITHIN).ok();
-    match told.and_then(|()| answered.recv_timeout(ASK_WITHIN).ok()) {
+    let (answer_sender, answers) = bounded(1);
+    let sent = requests.send_timeout((request, answer_sender), OPERATOR_TIMEOUT).ok();
+    match sent.and_then(|()| answers.recv_timeout(OPERATOR_TIMEOUT).ok()) {
         Some(answer) => {
             let text = serde_json::to_vec(&answer).unwrap_or_default();
-            // An operator that has gone asks again.
-            let _ = call.answer(&text, Trailers::new(), ASK_WITHIN);
+            // If the operator has disconnected, they can repeat the request.
+            let _ = call.answer(&text, Trailers::new(), OPERATOR_TIMEOUT);
         }
         None => call.refuse(
             Code::Unavailable,
-            "no answer in time; a rollback may have begun: look with `rollbacks`",
+            "no answer in time; a rollback may have begun: check with `rollbacks`",
             Trailers::new(),
         ),
     }
 }
 
-struct Decider {
+/// The thread that owns [`Core`]: it collects inputs into batches and carries out the effects.
+struct DecisionThread {
     core: Core,
-    to_book: Option<Sender<Numbered>>,
-    /// A page that the file's queue had no room for.
-    page: Option<Numbered>,
-    /// The last page that is kept.
-    kept: u64,
-    asked: Receiver<Question>,
-    asking: BTreeMap<u64, Sender<Answer>>,
-    /// Answers that wait until the page of that number is kept.
-    answers: Vec<(u64, u64, Answer)>,
-    holdings: Holdings,
-    questions: u64,
-    next_look: Duration,
+    /// Absent without a state directory.
+    to_history_writer: Option<Sender<NumberedUpdate>>,
+    /// History updates that the file's queue had no room for, merged.
+    pending_update: Option<NumberedUpdate>,
+    /// The number of the last persisted history update.
+    persisted_seq: u64,
+    requests: Receiver<OperatorCall>,
+    answer_senders: BTreeMap<u64, Sender<Answer>>,
+    /// Request id, number of the history update that must be persisted first, and answer.
+    pending_answers: Vec<(u64, u64, Answer)>,
+    acked_versions: AckedVersions,
+    last_request_id: u64,
+    next_ack_check: Duration,
     channel: Channel,
-    names: BTreeMap<ProxyId, String>,
+    proxy_names: BTreeMap<ProxyId, String>,
     hub: Arc<Hub>,
     inbox: Receiver<(Input, Option<Sender<()>>)>,
     roster: Receiver<Input>,
     grants: Sender<PendingGrant>,
-    /// Grants that the store's queue had no room for.
-    owed: BTreeMap<SliceId, PendingGrant>,
+    /// Grants that the custody thread's queue had no room for.
+    unsent_grants: BTreeMap<SliceId, PendingGrant>,
     prober: Prober,
     counters: Arc<Counters>,
     status: Status,
@@ -385,60 +397,65 @@
     stop: Arc<AtomicBool>,
 }
 
-impl Decider {
+impl DecisionThread {
     fn now(&self) -> Duration {
-        PAST + self.start.elapsed()
+        CLOCK_BASE + self.start.elapsed()
     }
 
+    /// Runs until the assigner stops and all slices are released.
     fn run(mut self) {
         let mut next_status = Instant::now() + Duration::from_secs(1);
-        let mut due = self.now();
+        let mut next_batch_at = self.now();
         loop {
-            let left = due.saturating_sub(self.now()).max(ROUND);
+            let wait = next_batch_at.saturating_sub(self.now()).max(MIN_INPUT_WAIT);
             let mut inputs: Vec<Input> = Vec::new();
             let mut done: Vec<Sender<()>> = Vec::new();
-            match self.inbox.recv_timeout(left) {
+            match self.inbox.recv_timeout(wait) {
                 Ok(first) => {
-                    let more: Vec<_> = self.inbox.try_iter().take(INBOX).collect();
-                    for (input, acted) in std::iter::once(first).chain(more) {
-                        self.remember(&input);
-                        if let Input::Kept { seq } = &input {
-                            self.kept = *seq;
+                    let more: Vec<_> = self.inbox.try_iter().take(MAX_QUEUED_INPUTS).collect();
+                    for (input, done_sender) in std::iter::once(first).chain(more) {
+                        self.note_proxy_name(&input);
+                        if let Input::HistoryPersisted { seq } = &input {
+                            self.persisted_seq = *seq;
                         }
                         inputs.push(input);
-                        done.extend(acted);
+                        done.extend(done_sender);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // The newest list stands for those before it, but a failure after it is told too.
+            // Lists of servers go first in the batch; all of them are passed on, since a failure may follow a list.
             inputs.splice(0..0, self.roster.try_iter());
-            if self.to_book.is_none() && self.kept < self.core.chronicle().seq() {
-                // Without a file all is as kept as it will be.
-                self.kept = self.core.chronicle().seq();
-                inputs.push(Input::Kept { seq: self.kept });
+            if self.to_history_writer.is_none()
+                && self.persisted_seq < self.core.history_recorder().last_seq()
+            {
+                // Without a file every update counts as persisted.
+                self.persisted_seq = self.core.history_recorder().last_seq();
+                inputs.push(Input::HistoryPersisted { seq: self.persisted_seq });
             }
-            self.take_questions(&mut inputs);
-            self.core.set_wall(unix_ms());
+            self.take_requests(&mut inputs);
+            self.core.set_wall_clock(unix_ms());
             let now = self.now();
-            let began = Instant::now();
+            let started_at = Instant::now();
             let effects = self.core.handle(now, inputs);
-            let took = began.elapsed().as_micros() as u64;
+            let elapsed_us = started_at.elapsed().as_micros() as u64;
             self.status.batches += 1;
-            self.status.batch_us_sum += took;
-            self.status.batch_us_most = self.status.batch_us_most.max(took);
-            self.carry_out(effects);
-            self.give_answers();
-            for acted in done {
-                // Whoever asked may have stopped waiting.
-                let _ = acted.try_send(());
+            self.status.batch_us_sum += elapsed_us;
+            self.status.batch_us_most = self.status.batch_us_most.max(elapsed_us);
+            self.execute(effects);
+            self.send_ready_answers();
+            for done_sender in done {
+                // The sender of the input may have stopped waiting.
+                let _ = done_sender.try_send(());
             }
-            due = self.core.wake().min(self.pump());
-            if self.to_book.is_none() && self.kept < self.core.chronicle().seq() {
-                due = self.now();
+            next_batch_at = self.core.next_wake().min(self.send_messages());
+            if self.to_history_writer.is_none()
+                && self.persisted_seq < self.core.history_recorder().last_seq()
+            {
+                next_batch_at = self.now();
             }
-            self.look_at_proxies();
+            self.check_acks();
             if Instant::now() >= next_status {
                 next_status += Duration::from_secs(1);
                 self.write_status();
@@ -450,192 +467,208 @@
         }
     }
 
-    fn remember(&mut self, input: &Input) {
-        if let Input::Joined { proxy, .. } = input {
-            let id = self.core.proxy(proxy);
-            self.names.entry(id).or_insert_with(|| proxy.clone());
+    /// Remembers the name of a proxy that joins.
+    fn note_proxy_name(&mut self, input: &Input) {
+        if let Input::ProxyJoined { proxy, .. } = input {
+            let id = self.core.proxy_id(proxy);
+            self.proxy_names.entry(id).or_insert_with(|| proxy.clone());
         }
     }
 
-    /// Hands a page to the file's thread, with what it had no room for before.
-    fn keep(&mut self, page: Option<Numbered>) {
-        let Some(to_book) = &self.to_book else { return };
-        let mut next = self.page.take();
-        Numbered::put(&mut next, page);
-        self.page = next.and_then(|page| to_book.try_send(page).err()).map(|refused| refused.into_inner());
+    /// Queues a history update for the file, merged with what the queue had no room for before.
+    fn persist(&mut self, update: Option<NumberedUpdate>) {
+        let Some(to_history_writer) = &self.to_history_writer else { return };
+        let mut next = self.pending_update.take();
+        NumberedUpdate::put(&mut next, update);
+        self.pending_update = next
+            .and_then(|update| to_history_writer.try_send(update).err())
+            .map(|refused| refused.into_inner());
     }
 
-    fn take_questions(&mut self, inputs: &mut Vec<Input>) {
-        for (ask, answer) in self.asked.try_iter().take(ASKS) {
-            if ask == Ask::Proxies {
-                // Whoever asked may have gone.
-                let (current, now) = (self.version(), self.now());
-                let proxies = self.holdings.lines(now, current);
-                let _ = answer.try_send(Answer::Proxies { current, proxies });
+    /// Takes operators' requests; one for the proxies is answered here, the others become inputs.
+    fn take_requests(&mut self, inputs: &mut Vec<Input>) {
+        for (request, answer_sender) in self.requests.try_iter().take(MAX_OPERATOR_REQUESTS) {
+            if request == Ask::Proxies {
+                let (current, now) = (self.current_version(), self.now());
+                let proxies = self.acked_versions.lines(now, current);
+                // The operator may have disconnected.
+                let _ = answer_sender.try_send(Answer::Proxies { current, proxies });
                 continue;
             }
-            self.questions += 1;
-            self.asking.insert(self.questions, answer);
-            inputs.push(Input::Asked { id: self.questions, ask });
+            self.last_request_id += 1;
+            self.answer_senders.insert(self.last_request_id, answer_sender);
+            inputs.push(Input::OperatorRequest { id: self.last_request_id, request });
         }
     }
 
-    /// Gives the answers that wait for nothing more.
-    fn give_answers(&mut self) {
-        let kept = if self.to_book.is_some() { self.kept } else { u64::MAX };
-        let (ready, later) =
-            std::mem::take(&mut self.answers).into_iter().partition(|(_, seq, _)| *seq <= kept);
-        self.answers = later;
+    /// Sends the answers whose history update is persisted.
+    fn send_ready_answers(&mut self) {
+        let persisted_seq = if self.to_history_writer.is_some() { self.persisted_seq } else { u64::MAX };
+        let (ready, later) = std::mem::take(&mut self.pending_answers)
+            .into_iter()
+            .partition(|(_, seq, _)| *seq <= persisted_seq);
+        self.pending_answers = later;
         for (id, _, answer) in ready {
-            if let Some(asker) = self.asking.remove(&id) {
-                let _ = asker.try_send(answer);
+            if let Some(answer_sender) = self.answer_senders.remove(&id) {
+                let _ = answer_sender.try_send(answer);
             }
         }
-        // Whoever waits for a file that can't be written has been told that no answer came in time: the oldest go.
-        while self.answers.len() > ASKS * 4 {
-            let (id, ..) = self.answers.remove(0);
-            self.asking.remove(&id);
+        // While the file can't be written, these operators have already been told that no answer came in time: the
+        // oldest answers are dropped.
+        while self.pending_answers.len() > MAX_OPERATOR_REQUESTS * 4 {
+            let (id, ..) = self.pending_answers.remove(0);
+            self.answer_senders.remove(&id);
         }
     }
 
-    fn version(&self) -> u64 {
-        self.core.chronicle().history().current().id().number
+    /// The number of the current version.
+    fn current_version(&self) -> u64 {
+        self.core.history_recorder().history().current().id().number
     }
 
-    /// Looks, once in a while, who has acknowledged all that there is.
-    fn look_at_proxies(&mut self) {
+    /// Checks, at intervals, which proxies have acknowledged everything.
+    fn check_acks(&mut self) {
         let now = self.now();
-        if now < self.next_look {
+        if now < self.next_ack_check {
             return;
         }
-        self.next_look = now + LOOK;
-        // What is held back for the file has been told to nobody.
-        let told = self.core.chronicle().held_back() == 0;
-        let (names, channel, hub) = (&self.names, &self.channel, &self.hub);
-        let seen = self.core.joined().keys().filter_map(|id| {
-            let name = names.get(id)?;
-            Some((name.clone(), told && !channel.waits(*id) && hub.settled(name)))
+        self.next_ack_check = now + ACK_CHECK_INTERVAL;
+        // Tables that are withheld for the history file have been sent to no proxy.
+        let all_published = self.core.history_recorder().held_back() == 0;
+        let (proxy_names, channel, hub) = (&self.proxy_names, &self.channel, &self.hub);
+        let acked_all = self.core.joined_streams().keys().filter_map(|id| {
+            let name = proxy_names.get(id)?;
+            Some((name.clone(), all_published && !channel.has_queued(*id) && hub.has_acked_all(name)))
         });
-        let current = self.core.chronicle().history().current().id().number;
-        self.holdings.look(now, current, seen);
+        let current = self.core.history_recorder().history().current().id().number;
+        self.acked_versions.update(now, current, acked_all);
     }
 
-    fn carry_out(&mut self, effects: Effects) {
+    /// Carries out the effects of a batch.
+    fn execute(&mut self, effects: Effects) {
         effects.log.iter().for_each(|text| info!(target: "whinhill::module", "{text}"));
-        effects.left.iter().for_each(|proxy| self.channel.left(*proxy));
-        for (proxy, every) in &effects.paces {
-            self.hub.set_pace(self.core.proxy_name(*proxy), *every);
+        effects.left_proxies.iter().for_each(|proxy| self.channel.remove_proxy(*proxy));
+        for (proxy, interval) in &effects.report_intervals {
+            self.hub.set_report_interval(self.core.proxy_name(*proxy), *interval);
         }
         self.publish(&effects);
-        self.keep(effects.page);
-        self.answers.extend(effects.answers);
-        if !effects.changed.is_empty() || effects.mark.is_some() {
-            let joined = self.core.joined().keys().copied();
-            self.channel.push(joined, &effects.changed, effects.mark, effects.lines, effects.safety);
+        self.persist(effects.history_update);
+        self.pending_answers.extend(effects.answers);
+        if !effects.changed.is_empty() || effects.ack_seq.is_some() {
+            let joined = self.core.joined_streams().keys().copied();
+            self.channel.push(
+                joined,
+                &effects.changed,
+                effects.ack_seq,
+                effects.lines_per_proxy,
+                effects.safety,
+            );
         }
-        // Of a slice the newest grant alone counts: the keeper takes no answer for an older one.
-        self.owed.extend(effects.grants.into_iter().map(|grant| (grant.slice, grant)));
-        while let Some((slice, grant)) = self.owed.pop_first() {
+        // Only the newest grant of a slice counts: the publisher ignores the store's answer to an older one.
+        self.unsent_grants.extend(effects.grants.into_iter().map(|grant| (grant.slice, grant)));
+        while let Some((slice, grant)) = self.unsent_grants.pop_first() {
             if let Err(refused) = self.grants.try_send(grant) {
-                // The store is behind; the next batch tries again.
-                self.owed.insert(slice, refused.into_inner());
+                // The custody thread is behind; the next batch tries again.
+                self.unsent_grants.insert(slice, refused.into_inner());
                 break;
             }
         }
         effects.probes.into_iter().for_each(|server| self.prober.probe(server));
     }
 
-    /// Writes changed tables into the cache, and tells at once what has come or gone with custody.
+    /// Writes changed tables into the cache, and announces acquired and released slices to all streams at once.
     fn publish(&self, effects: &Effects) {
-        if effects.changed.is_empty() && effects.given.is_empty() && effects.taken.is_empty() {
+        if effects.changed.is_empty() && effects.acquired.is_empty() && effects.released.is_empty() {
             return;
         }
         let service = &self.hub.service;
-        let mut moved = Vec::new();
+        let mut announced = Vec::new();
         {
             let mut cache = self.hub.cache.write().unwrap_or_else(PoisonError::into_inner);
-            for slice in &effects.taken {
+            for slice in &effects.released {
                 for method in 0..service.methods.len() {
-                    let name = self.hub.cluster(*slice, method);
+                    let name = self.hub.cluster_name(*slice, method);
                     cache.remove(Kind::Cluster, name);
                     cache.remove(Kind::Endpoints, name);
-                    moved.push(name.clone());
+                    announced.push(name.clone());
                 }
             }
-            for slice in effects.given.iter().chain(&effects.changed) {
-                let Some(table) = self.core.keeper().published().get(slice) else { continue };
+            for slice in effects.acquired.iter().chain(&effects.changed) {
+                let Some(table) = self.core.publisher().published().get(slice) else { continue };
                 for method in 0..service.methods.len() {
-                    let name = self.hub.cluster(*slice, method);
-                    if effects.given.contains(slice) {
+                    let name = self.hub.cluster_name(*slice, method);
+                    if effects.acquired.contains(slice) {
                         cache.set(Kind::Cluster, name, service.cluster(*slice, method));
-                        moved.push(name.clone());
+                        announced.push(name.clone());
                     }
                     let entry = service.endpoints(*slice, method, table);
                     cache.set(Kind::Endpoints, name, entry);
                 }
             }
         }
-        if !moved.is_empty() {
-            self.hub.announce(&moved);
+        if !announced.is_empty() {
+            self.hub.notify_all(&announced);
         }
     }
 
-    /// Sends what may leave now; returns when to look again.
-    fn pump(&mut self) -> Duration {
+    /// Delivers the messages that may be sent now; returns when to call this again.
+    fn send_messages(&mut self) -> Duration {
         loop {
             let now = self.now();
-            self.hub.orders_wait(self.channel.fill() > 0);
+            self.hub.set_orders_queued(self.channel.queued_lines() > 0);
             match self.channel.next(now) {
                 None => return Duration::MAX,
                 Some(Err(at)) => return at,
-                Some(Ok((proxy, parcel))) => {
-                    if let Some(name) = self.names.get(&proxy) {
-                        self.hub.deliver(name, &parcel);
+                Some(Ok((proxy, message))) => {
+                    if let Some(name) = self.proxy_names.get(&proxy) {
+                        self.hub.deliver(name, &message);
                     }
                 }
             }
         }
     }
 
+    /// Updates the status and writes it to its file.
     fn write_status(&mut self) {
         let get = Counters::get;
         self.status.uptime_ms = self.start.elapsed().as_millis() as u64;
-        self.status.slices = self.core.keeper().published().len() as u64;
-        self.status.proxies = self.core.joined().len() as u64;
-        self.status.handovers = self.core.moves();
+        self.status.slices = self.core.publisher().published().len() as u64;
+        self.status.proxies = self.core.joined_streams().len() as u64;
+        self.status.handovers = self.core.grants_ordered();
         self.status.nacks = get(&self.counters.nacks);
         self.status.streams = get(&self.counters.streams);
         self.status.stale_acks = get(&self.counters.stale);
         self.status.differing = get(&self.counters.differing);
-        self.status.lines_sent = self.channel.sent();
-        self.status.backlog = self.channel.fill();
+        self.status.lines_sent = self.channel.lines_sent();
+        self.status.backlog = self.channel.queued_lines();
         (self.status.full_lines_sent, self.status.full_sets_waited) = self.hub.full_sets();
-        self.status.versions = self.core.chronicle().history().current().id().number;
-        self.status.history_kb = (self.core.chronicle().history().bytes() / 1024) as u64;
-        self.status.backlog_most = self.channel.most();
-        self.status.grants_waiting = self.core.keeper().waiting() as u64;
+        self.status.versions = self.core.history_recorder().history().current().id().number;
+        self.status.history_kb = (self.core.history_recorder().history().bytes() / 1024) as u64;
+        self.status.backlog_most = self.channel.max_queued_lines();
+        self.status.grants_waiting = self.core.publisher().waiting() as u64;
         self.status.bytes_sent = get(&self.counters.bytes);
         self.status.store_failures = get(&self.counters.store_failures);
-        let (ledger, waiting, shown) = self.core.load();
+        let (ledger, queued_tries, shown) = self.core.load_reports();
         self.status.reports_offered = ledger.offered;
         self.status.reports_given = ledger.given;
-        self.status.reports_waiting = waiting;
+        self.status.reports_waiting = queued_tries;
         self.status.reports_late = ledger.late;
         self.status.reports_doubted = ledger.doubted;
         self.status.reports_heard_percent = (shown.heard * 1000.0).round() / 10.0;
         self.status.reports_lag_ms_most = shown.lag_most.as_millis() as u64;
         let [_, _, silent, cut] = shown.proxies;
         (self.status.proxies_silent, self.status.proxies_cut) = (silent as u64, cut as u64);
-        let (answers, rounds) = self.core.ways();
+        let (ack_latency, full_ack_latency) = self.core.ack_latencies();
         let quantile = |of: &hdrhistogram::Histogram<u64>, q: f64| of.value_at_quantile(q);
         (self.status.answer_us_p50, self.status.answer_us_p99) =
-            (quantile(answers, 0.5), quantile(answers, 0.99));
-        (self.status.all_us_p50, self.status.all_us_p99) = (quantile(rounds, 0.5), quantile(rounds, 0.99));
+            (quantile(ack_latency, 0.5), quantile(ack_latency, 0.99));
+        (self.status.all_us_p50, self.status.all_us_p99) =
+            (quantile(full_ack_latency, 0.5), quantile(full_ack_latency, 0.99));
         (self.status.cpu_ms, self.status.rss_kb) = process_figures();
         let Some(file) = &self.status_file else { return };
         self.status.history_failures = get(&self.counters.history_failures);
         self.status.status_lost = file.lost();
-        self.status.told_unkept = self.core.chronicle().told_unkept();
+        self.status.told_unkept = self.core.history_recorder().published_unpersisted();
         file.write(serde_json::to_string(&self.status).unwrap_or_default());
     }
 }
--- a/crates/whinhill-assigner/src/channel.rs
+++ b/crates/whinhill-assigner/src/channel.rs
@@ -1,109 +1,121 @@
-//! The channel to the proxies: what waits, and what goes next. No I/O, no clock.
+//! The rate-limited queue of messages to the proxies. No I/O, no clock.
 //!
-//! One parcel waits for a proxy at most; what comes meanwhile is folded into it. So the channel is bounded by
-//! proxies times slices, and a slow channel carries the newest state instead of each step to it.
+//! At most one message is queued for each proxy; later changes are merged into it. So the queue is bounded by
+//! proxies times slices, and a slow channel carries the newest state instead of every intermediate one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use whinhill::interface::{ProxyId, SliceId};
 
-/// One message: slices whose tables have changed, and marks to be answered.
+/// The message queued for one proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Parcel {
+pub struct ProxyMessage {
+    /// Slices whose tables have changed.
     pub slices: BTreeSet<SliceId>,
-    pub marks: Vec<u16>,
-    /// Lines that it costs.
+    /// Sequence numbers that the proxy must acknowledge.
+    pub ack_seqs: Vec<u16>,
+    /// Lines that it costs, the overhead included.
     pub lines: u32,
+    /// Whether it contains a safety order; such messages go first.
     pub safety: bool,
-    /// Its place in the queue.
-    turn: u64,
+    /// Its position in the queue.
+    queue_seq: u64,
 }
 
+/// The queue and its rate limit.
 #[derive(Debug)]
 pub struct Channel {
     lines_per_s: f64,
-    head: u32,
-    waiting: BTreeMap<ProxyId, Parcel>,
-    turns: u64,
-    /// When the last parcel has left.
-    free: Duration,
-    sent: u64,
-    most: u64,
+    /// Lines that a message costs beside its changes.
+    message_overhead: u32,
+    queued: BTreeMap<ProxyId, ProxyMessage>,
+    last_queue_seq: u64,
+    /// When the last message counts as sent, at the configured rate.
+    next_send_at: Duration,
+    lines_sent: u64,
+    max_queued_lines: u64,
 }
 
 impl Channel {
-    pub fn new(lines_per_s: f64, head: u32) -> Self {
+    /// An empty channel.
+    pub fn new(lines_per_s: f64, message_overhead: u32) -> Self {
         Channel {
             lines_per_s,
-            head,
-            waiting: BTreeMap::new(),
-            turns: 0,
-            free: Duration::ZERO,
-            sent: 0,
-            most: 0,
+            message_overhead,
+            queued: BTreeMap::new(),
+            last_queue_seq: 0,
+            next_send_at: Duration::ZERO,
+            lines_sent: 0,
+            max_queued_lines: 0,
         }
     }
 
-    /// Adds one batch's changes for each of the proxies. `lines` is what they cost beside the head.
+    /// Queues one batch's changes for each of the proxies. `lines` is their cost without the overhead of a message.
     pub fn push(
         &mut self,
         proxies: impl Iterator<Item = ProxyId>,
         slices: &BTreeSet<SliceId>,
-        mark: Option<u16>,
+        ack_seq: Option<u16>,
         lines: u32,
         safety: bool,
     ) {
         for proxy in proxies {
-            let head = self.head;
-            let turns = &mut self.turns;
-            let parcel = self.waiting.entry(proxy).or_insert_with(|| {
-                *turns += 1;
-                Parcel { lines: head, turn: *turns, ..Parcel::default() }
+            let message_overhead = self.message_overhead;
+            let last_queue_seq = &mut self.last_queue_seq;
+            let message = self.queued.entry(proxy).or_insert_with(|| {
+                *last_queue_seq += 1;
+                ProxyMessage {
+                    lines: message_overhead,
+                    queue_seq: *last_queue_seq,
+                    ..ProxyMessage::default()
+                }
             });
-            parcel.slices.extend(slices);
-            parcel.marks.extend(mark);
-            parcel.lines += lines;
-            parcel.safety |= safety;
+            message.slices.extend(slices);
+            message.ack_seqs.extend(ack_seq);
+            message.lines += lines;
+            message.safety |= safety;
         }
-        self.most = self.most.max(self.fill());
+        self.max_queued_lines = self.max_queued_lines.max(self.queued_lines());
     }
 
-    /// The parcel to send now, or the time at which to ask again; `None` while nothing waits.
-    pub fn next(&mut self, now: Duration) -> Option<Result<(ProxyId, Parcel), Duration>> {
-        let (&proxy, _) = self.waiting.iter().min_by_key(|(_, parcel)| (!parcel.safety, parcel.turn))?;
-        if now < self.free {
-            return Some(Err(self.free));
+    /// The message to send now, or the time of the next attempt; `None` if nothing is queued.
+    pub fn next(&mut self, now: Duration) -> Option<Result<(ProxyId, ProxyMessage), Duration>> {
+        let (&proxy, _) =
+            self.queued.iter().min_by_key(|(_, message)| (!message.safety, message.queue_seq))?;
+        if now < self.next_send_at {
+            return Some(Err(self.next_send_at));
         }
-        let parcel = self.waiting.remove(&proxy)?;
-        // Time in which nothing was sent is not saved up.
-        self.free = now + Duration::from_secs_f64(f64::from(parcel.lines) / self.lines_per_s);
-        self.sent += u64::from(parcel.lines);
-        Some(Ok((proxy, parcel)))
+        let message = self.queued.remove(&proxy)?;
+        // Idle time is not credited.
+        self.next_send_at = now + Duration::from_secs_f64(f64::from(message.lines) / self.lines_per_s);
+        self.lines_sent += u64::from(message.lines);
+        Some(Ok((proxy, message)))
     }
 
-    /// Whether something waits for a proxy.
-    pub fn waits(&self, proxy: ProxyId) -> bool {
-        self.waiting.contains_key(&proxy)
+    /// Whether a message is queued for a proxy.
+    pub fn has_queued(&self, proxy: ProxyId) -> bool {
+        self.queued.contains_key(&proxy)
     }
 
-    /// A proxy left: what waits for it is lost.
-    pub fn left(&mut self, proxy: ProxyId) {
-        self.waiting.remove(&proxy);
+    /// Drops the message of a proxy that left.
+    pub fn remove_proxy(&mut self, proxy: ProxyId) {
+        self.queued.remove(&proxy);
     }
 
-    /// Lines that wait.
-    pub fn fill(&self) -> u64 {
-        self.waiting.values().map(|parcel| u64::from(parcel.lines)).sum()
+    /// The number of queued lines.
+    pub fn queued_lines(&self) -> u64 {
+        self.queued.values().map(|message| u64::from(message.lines)).sum()
     }
 
-    /// The most that ever waited.
-    pub fn most(&self) -> u64 {
-        self.most
+    /// The greatest number of queued lines so far.
+    pub fn max_queued_lines(&self) -> u64 {
+        self.max_queued_lines
     }
 
-    pub fn sent(&self) -> u64 {
-        self.sent
+    /// Lines sent so far.
+    pub fn lines_sent(&self) -> u64 {
+        self.lines_sent
     }
 }
 
@@ -116,17 +128,17 @@
     }
 
     #[test]
-    fn parcels_leave_at_the_pace_safety_first_and_fold_what_follows() {
+    fn messages_are_paced_and_merged_and_safety_goes_first() {
         let mut channel = Channel::new(1000.0, 8);
         channel.push([1, 2].into_iter(), &[5].into(), Some(1), 2, false);
         channel.push([3].into_iter(), &[7].into(), None, 2, true);
         channel.push([2].into_iter(), &[6].into(), Some(2), 2, false);
-        assert_eq!((channel.fill(), channel.most()), (10 + 12 + 10, 32));
+        assert_eq!((channel.queued_lines(), channel.max_queued_lines()), (10 + 12 + 10, 32));
         let Some(Ok((3, _))) = channel.next(ms(0)) else { panic!("safety goes first") };
         assert_eq!(channel.next(ms(9)), Some(Err(ms(10))));
-        let Some(Ok((1, _))) = channel.next(ms(10)) else { panic!("then by turn") };
-        let Some(Ok((2, parcel))) = channel.next(ms(20)) else { panic!("the folded one last") };
-        assert_eq!((parcel.slices, parcel.marks, parcel.lines), ([5, 6].into(), vec![1, 2], 12));
-        assert_eq!((channel.next(ms(99)), channel.fill(), channel.sent()), (None, 0, 32));
+        let Some(Ok((1, _))) = channel.next(ms(10)) else { panic!("then in queue order") };
+        let Some(Ok((2, message))) = channel.next(ms(20)) else { panic!("the merged one last") };
+        assert_eq!((message.slices, message.ack_seqs, message.lines), ([5, 6].into(), vec![1, 2], 12));
+        assert_eq!((channel.next(ms(99)), channel.queued_lines(), channel.lines_sent()), (None, 0, 32));
     }
 }
--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -1,4 +1,4 @@
-//! The assigner without threads: what happened in, what is to be done out. No I/O, no clock.
+//! The assigner's logic without threads: it takes inputs and returns the effects to carry out. No I/O, no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,138 +16,126 @@
 use whinhill_xds::mapping::Service;
 use whinhill_xds::proto;
 
-use crate::ask::{Answer, Ask, ReportsAnswer, ReportsLine};
-use crate::chronicle::{Batch, Chronicle, Numbered};
 use crate::config::AssignerConfig;
-use crate::names::Names;
+use crate::history_recorder::{Batch, Chronicle, NumberedUpdate};
+use crate::name_index::Names;
+use crate::operator_api::{Answer, Ask, ReportsAnswer, ReportsLine};
 use crate::reports::{event, read_report};
 use crate::roster::{RosterEntry, RosterState};
 
-/// One thing that happened.
+/// An event that the assigner reacts to.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The whole list of servers, the kind it is, and the wall clock when it was read.
-    Roster {
-        kind: ListKind,
-        entries: Vec<RosterEntry>,
-        unix_ms: u64,
-    },
-    /// The list that was told last still stands: its source was read, or answers, and has nothing new.
-    RosterIsCurrent,
-    Joined {
-        proxy: String,
-        zone: String,
-        stream: u64,
-    },
-    Left {
-        proxy: String,
-        stream: u64,
-    },
-    Acked {
-        proxy: String,
-        stream: u64,
-        mark: u16,
-    },
-    Report {
-        proxy: String,
-        zone: String,
-        report: proto::LoadStatsRequest,
-    },
-    /// A stream of reports opened, and ended: who has one is expected to report.
-    Reporting {
-        proxy: String,
-        zone: String,
-    },
-    NoLongerReporting {
-        proxy: String,
-    },
-    Probed {
-        server: ServerName,
-        result: Probe,
-        load: LoadReport,
-    },
-    Custody {
-        told: Vec<Told>,
-    },
+    /// A whole list of servers, its kind, and the wall-clock time at which it was read.
+    Roster { kind: ListKind, entries: Vec<RosterEntry>, unix_ms: u64 },
+    /// The last list is still current: its source was read, or responds, and has no change.
+    RosterUnchanged,
+    /// A proxy opened a table stream.
+    ProxyJoined { proxy: String, zone: String, stream: u64 },
+    /// A proxy's table stream ended.
+    ProxyLeft { proxy: String, stream: u64 },
+    /// A proxy acknowledged a sequence number.
+    Acked { proxy: String, stream: u64, ack_seq: u16 },
+    /// A proxy's load report.
+    Report { proxy: String, zone: String, report: proto::LoadStatsRequest },
+    /// A load report stream opened: from now on the proxy is expected to report.
+    ReportStreamOpened { proxy: String, zone: String },
+    /// A load report stream ended.
+    ReportStreamClosed { proxy: String },
+    /// A probe of a server ended.
+    ProbeCompleted { server: ServerName, result: Probe, load: LoadReport },
+    /// Slices were acquired or released.
+    Custody { events: Vec<Told> },
     /// The store holds a grant.
-    Granted {
-        grant: PendingGrant,
-    },
-    /// The file holds every page up to that number.
-    Kept {
-        seq: u64,
-    },
-    /// An operator asks; the answer carries the same number.
-    Asked {
-        id: u64,
-        ask: Ask,
-    },
+    GrantStored { grant: PendingGrant },
+    /// The history file holds every update up to this number.
+    HistoryPersisted { seq: u64 },
+    /// An operator's request; the answer carries the same id.
+    OperatorRequest { id: u64, request: Ask },
 }
 
-/// What is to be done, in this order: tables into the cache, removals told at once, changes and the mark to the
-/// channel, grants to the store.
+/// What the caller must do, in this order: write tables into the cache, announce acquired and released slices at
+/// once, queue changes and the ack sequence number in the channel, send grants to the store.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Slices whose table is another now.
+    /// Slices whose table changed.
     pub changed: BTreeSet<SliceId>,
-    /// Slices that are ours now, and ours no longer.
-    pub given: BTreeSet<SliceId>,
-    pub taken: BTreeSet<SliceId>,
-    /// Stops of writes and lines taken away are among the changes.
+    /// Slices of which this assigner now has custody.
+    pub acquired: BTreeSet<SliceId>,
+    /// Slices of which this assigner no longer has custody.
+    pub released: BTreeSet<SliceId>,
+    /// Whether the changes contain safety orders: a stop of writes or the removal of a line.
     pub safety: bool,
-    pub mark: Option<u16>,
-    /// Lines that the changes cost in each proxy's message.
-    pub lines: u32,
+    /// The sequence number that the proxies must acknowledge, if any.
+    pub ack_seq: Option<u16>,
+    /// Lines that the changes add to the message for each proxy.
+    pub lines_per_proxy: u32,
+    /// Grants for the store.
     pub grants: Vec<PendingGrant>,
+    /// Servers to probe.
     pub probes: Vec<ServerName>,
-    pub left: Vec<ProxyId>,
-    /// Proxies that are to report this often from now on.
-    pub paces: Vec<(ProxyId, Duration)>,
-    pub ask_roster: bool,
-    /// What our own file must take.
-    pub page: Option<Numbered>,
-    /// Answers to operators, each to be given once the page of that number is kept.
+    /// Proxies whose table stream ended or was replaced.
+    pub left_proxies: Vec<ProxyId>,
+    /// New report intervals of proxies.
+    pub report_intervals: Vec<(ProxyId, Duration)>,
+    /// Whether the module asked for the list of servers.
+    pub fetch_roster: bool,
+    /// What the history file must persist.
+    pub history_update: Option<NumberedUpdate>,
+    /// Answers to operators: request id, number of the history update that must be persisted first, and answer.
     pub answers: Vec<(u64, u64, Answer)>,
+    /// Lines for the log.
     pub log: Vec<String>,
 }
 
+/// An ack sequence number that is followed until the last proxy has acknowledged it.
+struct FollowedAck {
+    ack_seq: u16,
+    ordered_at: Duration,
+    /// Proxies that have yet to acknowledge it.
+    awaited: BTreeSet<ProxyId>,
+}
+
+/// The assigner's state: the decision module, the published tables, load reports and history.
 pub struct Core {
     module: whinhill::Assigner,
     names: Names,
-    keeper: Keeper,
+    publisher: Keeper,
     intake: Intake,
     service: Arc<Service>,
     /// The stream of each proxy that has joined.
-    joined: BTreeMap<ProxyId, u64>,
-    wake: Duration,
-    /// When each mark that may still be answered was ordered.
-    marks: BTreeMap<u16, Duration>,
-    /// Who has yet to answer the newest mark that is followed to its end.
-    followed: Option<(u16, Duration, BTreeSet<ProxyId>)>,
-    answers: Histogram<u64>,
-    rounds: Histogram<u64>,
-    skips_the_wait: bool,
+    joined_streams: BTreeMap<ProxyId, u64>,
+    next_wake: Duration,
+    /// When each ack sequence number was ordered that may still be acknowledged.
+    ack_seq_ordered_at: BTreeMap<u16, Duration>,
+    followed_ack: Option<FollowedAck>,
+    /// Microseconds from an order to its acknowledgement by one proxy.
+    ack_latency: Histogram<u64>,
+    /// Microseconds from an order to its acknowledgement by the last proxy.
+    full_ack_latency: Histogram<u64>,
+    skip_ack_wait: bool,
+    /// Whether a first list of servers has arrived.
     started: bool,
-    /// What came before the first list: the module is told of it with that list.
-    early: Vec<Event>,
-    moves: u64,
-    /// How often proxies that are not to report at the ordinary pace were told to.
-    paces: BTreeMap<ProxyId, Duration>,
-    /// Too little is heard for anything to be decided on.
-    blind: bool,
-    chronicle: Chronicle,
-    withheld_most: Duration,
+    /// Events from before the first list; the module gets them together with that list.
+    events_before_first_list: Vec<Event>,
+    grants_ordered: u64,
+    /// The report interval that each proxy was last told.
+    report_intervals: BTreeMap<ProxyId, Duration>,
+    /// Too little load is reported to decide anything on it.
+    load_unknown: bool,
+    history_recorder: Chronicle,
+    max_withhold: Duration,
     unix_ms: u64,
-    asked: Vec<(u64, Ask)>,
+    operator_requests: Vec<(u64, Ask)>,
 }
 
-/// What the module knows of servers, for rollbacks.
-struct Eyes<'a> {
+/// Server health and handovers as the module knows them, for rollbacks.
+struct ModuleServerView<'a> {
     module: &'a whinhill::Assigner,
     names: &'a Names,
 }
 
-impl Fleet for Eyes<'_> {
+impl Fleet for ModuleServerView<'_> {
     fn standing(&self, server: &str) -> Standing {
         match self.names.known(server).map(|index| self.module.health(index)) {
             None => Standing::Unknown,
@@ -165,13 +153,14 @@
 }
 
 impl Core {
+    /// A core with an empty history; `seed` seeds all its random choices.
     pub fn new(config: &AssignerConfig, seed: u64) -> Result<Self, SettingsError> {
         let service = Arc::new(config.service.service());
         let writes = service.methods.iter().map(|method| method.writes).collect();
         Ok(Core {
             module: whinhill::Assigner::new(&config.settings(), seed)?,
             names: Names::new(&config.zones),
-            keeper: Keeper::new(service.slices, writes, config.service.tries),
+            publisher: Keeper::new(service.slices, writes, config.service.tries),
             intake: Intake::new(
                 whinhill_reports::Limits {
                     period: Duration::from_millis(config.report_period_ms),
@@ -180,128 +169,144 @@
                 },
                 seed,
             ),
-            paces: BTreeMap::new(),
-            blind: false,
+            report_intervals: BTreeMap::new(),
+            load_unknown: false,
             service,
-            joined: BTreeMap::new(),
-            wake: Duration::ZERO,
-            marks: BTreeMap::new(),
-            followed: None,
-            answers: ways(),
-            rounds: ways(),
-            skips_the_wait: config.sabotage.skips_the_wait,
+            joined_streams: BTreeMap::new(),
+            next_wake: Duration::ZERO,
+            ack_seq_ordered_at: BTreeMap::new(),
+            followed_ack: None,
+            ack_latency: latency_histogram(),
+            full_ack_latency: latency_histogram(),
+            skip_ack_wait: config.sabotage.skips_the_wait,
             started: false,
-            early: Vec::new(),
-            moves: 0,
-            chronicle: Chronicle::new(
+            events_before_first_list: Vec::new(),
+            grants_ordered: 0,
+            history_recorder: Chronicle::new(
                 History::new(config.history.limits(), 0, TableSet::new()),
                 Vec::new(),
-                withheld_most(config),
+                max_withhold(config),
                 Duration::ZERO,
                 0,
             ),
-            withheld_most: withheld_most(config),
+            max_withhold: max_withhold(config),
             unix_ms: 0,
-            asked: Vec::new(),
+            operator_requests: Vec::new(),
         })
     }
 
-    /// Takes up the history and the rollbacks that the file held.
+    /// Continues with the history and the rollbacks that were read from the file.
     pub fn restore(&mut self, history: History, rollbacks: Vec<Rollback>, now: Duration, unix_ms: u64) {
-        self.chronicle = Chronicle::new(history, rollbacks, self.withheld_most, now, unix_ms);
+        self.history_recorder = Chronicle::new(history, rollbacks, self.max_withhold, now, unix_ms);
     }
 
-    /// The time by the wall, for those who read the history.
-    pub fn set_wall(&mut self, unix_ms: u64) {
+    /// Sets the wall-clock time, which only stamps history entries for readers.
+    pub fn set_wall_clock(&mut self, unix_ms: u64) {
         self.unix_ms = unix_ms;
     }
 
-    pub fn chronicle(&self) -> &Chronicle {
-        &self.chronicle
+    /// The published sets and the rollbacks.
+    pub fn history_recorder(&self) -> &Chronicle {
+        &self.history_recorder
     }
 
+    /// The service whose tables this assigner publishes.
     pub fn service(&self) -> &Arc<Service> {
         &self.service
     }
 
-    pub fn keeper(&self) -> &Keeper {
-        &self.keeper
+    /// The published tables.
+    pub fn publisher(&self) -> &Keeper {
+        &self.publisher
     }
 
-    pub fn joined(&self) -> &BTreeMap<ProxyId, u64> {
-        &self.joined
+    /// The table stream of each proxy that has joined.
+    pub fn joined_streams(&self) -> &BTreeMap<ProxyId, u64> {
+        &self.joined_streams
     }
 
     /// Grants ordered since the start.
-    pub fn moves(&self) -> u64 {
-        self.moves
+    pub fn grants_ordered(&self) -> u64 {
+        self.grants_ordered
     }
 
-    /// Figures of reports that could not be made out.
-    pub fn strange(&self) -> u64 {
+    /// Report lines since the start that name an unknown cluster or server.
+    pub fn unreadable_report_lines(&self) -> u64 {
         self.intake.ledger().strange
     }
 
     /// When to call [`Core::handle`] next even if nothing happens.
-    pub fn wake(&self) -> Duration {
-        self.chronicle.next_overdue().map_or(self.wake, |overdue| overdue.min(self.wake))
+    pub fn next_wake(&self) -> Duration {
+        self.history_recorder.next_release().map_or(self.next_wake, |release| release.min(self.next_wake))
     }
 
     /// The id of a proxy by its name.
-    pub fn proxy(&mut self, name: &str) -> ProxyId {
-        self.names.proxy(name)
+    pub fn proxy_id(&mut self, name: &str) -> ProxyId {
+        self.names.proxy_id(name)
     }
 
+    /// The name of a proxy by its id.
     pub fn proxy_name(&self, id: ProxyId) -> &str {
         self.names.proxy_name(id)
     }
 
-    /// Takes all that happened by `now` and says what is to be done.
+    /// Processes all inputs up to `now` and returns what the caller must do.
     pub fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Effects {
         let mut effects = Effects::default();
         let mut granted = BTreeSet::new();
-        let mut events = std::mem::take(&mut self.early);
+        let mut events = std::mem::take(&mut self.events_before_first_list);
         for input in inputs {
-            self.take(now, input, &mut events, &mut effects, &mut granted);
+            self.apply_input(now, input, &mut events, &mut effects, &mut granted);
         }
-        let overdue = self.chronicle.overdue(now);
-        let told = overdue.len();
-        effects.lines += told as u32;
+        let overdue = self.history_recorder.overdue(now);
+        let overdue_count = overdue.len();
+        effects.lines_per_proxy += overdue_count as u32;
         effects.changed.extend(overdue);
         self.decide(now, events, &mut effects);
-        self.remember(now, granted, &mut effects);
-        if told > 0 {
-            effects.log.push(format!("{told} owners are told before the history has them"));
+        self.record_history(now, granted, &mut effects);
+        if overdue_count > 0 {
+            effects
+                .log
+                .push(format!("{overdue_count} owners are published before the history file has them"));
         }
         effects
     }
 
-    /// Puts what changed into the history, holds back what must be kept first, and answers operators.
-    fn remember(&mut self, now: Duration, granted: BTreeSet<SliceId>, effects: &mut Effects) {
+    /// Records the changes in the history, withholds owners that must be persisted first, and answers operators.
+    fn record_history(&mut self, now: Duration, granted: BTreeSet<SliceId>, effects: &mut Effects) {
         let mut touched: BTreeSet<SliceId> = granted.clone();
-        for of in [&effects.changed, &effects.given, &effects.taken] {
-            touched.extend(of);
+        for slices in [&effects.changed, &effects.acquired, &effects.released] {
+            touched.extend(slices);
         }
-        // Before anyone is asked to keep it: who wished for a grant shows only until the next look.
-        let published = self.keeper.published();
+        // Recorded before any update is taken for persisting: the rollback that requested a grant is known only
+        // until its requests are next evaluated.
+        let published = self.publisher.published();
         let (unix_ms, cause) = (self.unix_ms, effects.log.first().cloned());
-        self.chronicle.record(Batch { now, unix_ms, published, touched, granted, cause });
-        let eyes = Eyes { module: &self.module, names: &self.names };
-        for (id, ask) in std::mem::take(&mut self.asked) {
-            // Only what an order changed must be kept before it is answered: a full disk hides no history.
-            let orders = matches!(ask, Ask::Rollback { dry_run: false, .. } | Ask::PinGood { .. });
-            let answer = match ask {
-                Ask::Reports => self.reports(now),
-                ask => crate::answers::answer(&mut self.chronicle, published, &eyes, now, ask),
+        self.history_recorder.record(Batch { now, unix_ms, published, touched, granted, cause });
+        let servers = ModuleServerView { module: &self.module, names: &self.names };
+        for (id, request) in std::mem::take(&mut self.operator_requests) {
+            // Only a request that changes something must be persisted before it is answered: with a full disk the
+            // history can still be read.
+            let changes_state = matches!(request, Ask::Rollback { dry_run: false, .. } | Ask::PinGood { .. });
+            let answer = match request {
+                Ask::Reports => self.reports_answer(now),
+                request => crate::operator_handler::answer(
+                    &mut self.history_recorder,
+                    published,
+                    &servers,
+                    now,
+                    request,
+                ),
             };
-            let after = if orders { self.chronicle.seq() } else { 0 };
-            effects.answers.push((id, after, answer));
+            let required_seq = if changes_state { self.history_recorder.last_seq() } else { 0 };
+            effects.answers.push((id, required_seq, answer));
         }
-        let chronicle = &self.chronicle;
-        effects.changed.retain(|slice| !chronicle.holds_back(*slice));
-        effects.page = self.chronicle.take_page();
+        let history_recorder = &self.history_recorder;
+        effects.changed.retain(|slice| !history_recorder.is_withheld(*slice));
+        effects.history_update = self.history_recorder.take_page();
     }
 
+    /// Gives the module its events and carries out the orders that it returns.
     fn decide(&mut self, now: Duration, mut events: Vec<Event>, effects: &mut Effects) {
         let names = &self.names;
         let ep = |index: usize| {
@@ -309,35 +314,36 @@
             Ep { index, stable }
         };
         if self.started {
-            let given = self.intake.give(now);
-            events.extend(given.iter().map(|given| event(given, ep)));
-            let blind = self.intake.blind();
-            if blind != std::mem::replace(&mut self.blind, blind) {
-                effects.log.push(reports_mode(blind, self.intake.shown()));
+            let report_lines = self.intake.give(now);
+            events.extend(report_lines.iter().map(|line| event(line, ep)));
+            let load_unknown = self.intake.blind();
+            if load_unknown != std::mem::replace(&mut self.load_unknown, load_unknown) {
+                effects.log.push(load_state_message(load_unknown, self.intake.shown()));
             }
         }
-        if now >= self.wake {
+        if now >= self.next_wake {
             events.push(Event::Timer);
         }
         if !self.started {
             events.retain(|event| *event != Event::Timer);
-            self.early = events;
+            self.events_before_first_list = events;
             return;
         }
-        let eyes = Eyes { module: &self.module, names };
-        let (wishes, ended) = self.chronicle.look(now, self.keeper.published(), &eyes);
+        let servers = ModuleServerView { module: &self.module, names };
+        let (requested_moves, ended) = self.history_recorder.look(now, self.publisher.published(), &servers);
         effects.log.extend(ended);
-        for (slice, server) in wishes {
+        for (slice, server) in requested_moves {
             events.push(Event::Wished { slice, to: self.names.ep(&server) });
         }
         if events.is_empty() {
             return;
         }
         let orders = self.module.handle(now, &events);
-        self.carry_out(now, &orders, effects);
+        self.execute(now, &orders, effects);
     }
 
-    fn take(
+    /// Applies one input: updates the state and collects events for the module and effects.
+    fn apply_input(
         &mut self,
         now: Duration,
         input: Input,
@@ -348,92 +354,94 @@
         match input {
             Input::Roster { kind, entries, unix_ms } => {
                 self.started = true;
-                let entry = |entry: RosterEntry| self.entry(now, entry, unix_ms);
+                let entry = |entry: RosterEntry| self.server_entry(now, entry, unix_ms);
                 let entries = entries.into_iter().map(entry).collect();
                 if matches!(kind, ListKind::Full | ListKind::Changes) {
-                    self.names.list_is_current(now);
+                    self.names.mark_list_current(now);
                 }
                 events.push(Event::List { kind, entries });
             }
-            Input::RosterIsCurrent => self.names.list_is_current(now),
-            Input::Joined { proxy, zone, stream } => {
-                let (id, zone) = (self.names.proxy(&proxy), self.names.zone(&zone));
-                if self.joined.insert(id, stream).is_some() {
+            Input::RosterUnchanged => self.names.mark_list_current(now),
+            Input::ProxyJoined { proxy, zone, stream } => {
+                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
+                if self.joined_streams.insert(id, stream).is_some() {
                     events.push(Event::Left { proxy: id });
-                    effects.left.push(id);
+                    effects.left_proxies.push(id);
                 }
                 events.push(Event::Joined { proxy: id, zone });
             }
-            // The end of a stream that another one has replaced says nothing.
-            Input::Left { proxy, stream } => {
-                let id = self.names.proxy(&proxy);
-                if self.joined.get(&id) == Some(&stream) {
-                    self.joined.remove(&id);
-                    self.follow(id, None);
-                    effects.left.push(id);
+            // The end of a stream that a newer one has replaced does not mean that the proxy left.
+            Input::ProxyLeft { proxy, stream } => {
+                let id = self.names.proxy_id(&proxy);
+                if self.joined_streams.get(&id) == Some(&stream) {
+                    self.joined_streams.remove(&id);
+                    self.record_ack_progress(id, None);
+                    effects.left_proxies.push(id);
                     events.push(Event::Left { proxy: id });
                 }
             }
-            Input::Acked { proxy, stream, mark } => {
-                let id = self.names.proxy(&proxy);
-                if let (Some(ordered), true) = (self.marks.get(&mark), self.joined.get(&id) == Some(&stream))
-                {
-                    let way = now.saturating_sub(*ordered);
-                    events.push(Event::Acked { proxy: id, mark, way });
-                    self.answers.saturating_record(way.as_micros() as u64);
-                    self.follow(id, Some((mark, now)));
+            Input::Acked { proxy, stream, ack_seq } => {
+                let id = self.names.proxy_id(&proxy);
+                let is_current_stream = self.joined_streams.get(&id) == Some(&stream);
+                if let (Some(ordered_at), true) = (self.ack_seq_ordered_at.get(&ack_seq), is_current_stream) {
+                    let transit = now.saturating_sub(*ordered_at);
+                    events.push(Event::Acked { proxy: id, mark: ack_seq, way: transit });
+                    self.ack_latency.saturating_record(transit.as_micros() as u64);
+                    self.record_ack_progress(id, Some((ack_seq, now)));
                 }
             }
             Input::Report { proxy, zone, report } => {
-                let (id, zone) = (self.names.proxy(&proxy), self.names.zone(&zone));
-                let told = read_report(id, zone, &report, &self.service, &self.names);
-                self.intake.take(now, told);
-                let pace = self.intake.interval(id);
-                // What it was told last stands over its streams: the hub tells it again on each new one.
-                let before = self.paces.insert(id, pace).unwrap_or(self.intake.period());
-                if before != pace {
-                    effects.paces.push((id, pace));
+                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
+                let report = read_report(id, zone, &report, &self.service, &self.names);
+                self.intake.take(now, report);
+                let interval = self.intake.interval(id);
+                // The interval outlives the proxy's streams: the hub sends it again on each new stream.
+                let before = self.report_intervals.insert(id, interval).unwrap_or(self.intake.period());
+                if before != interval {
+                    effects.report_intervals.push((id, interval));
                 }
             }
-            Input::Reporting { proxy, zone } => {
-                let (id, zone) = (self.names.proxy(&proxy), self.names.zone(&zone));
+            Input::ReportStreamOpened { proxy, zone } => {
+                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
                 self.intake.opened(now, id, zone);
             }
-            Input::NoLongerReporting { proxy } => {
-                let id = self.names.proxy(&proxy);
+            Input::ReportStreamClosed { proxy } => {
+                let id = self.names.proxy_id(&proxy);
                 self.intake.closed(now, id);
             }
-            Input::Probed { server, result, load } => {
+            Input::ProbeCompleted { server, result, load } => {
                 events.push(Event::Probed { ep: self.names.ep(&server), result, load });
             }
-            Input::Custody { told } => {
-                for one in told {
-                    self.custody(one, events, effects);
+            Input::Custody { events: custody_events } => {
+                for custody_event in custody_events {
+                    self.apply_custody_event(custody_event, events, effects);
                 }
             }
-            Input::Granted { grant } => {
-                let changed = self.keeper.granted(&grant);
-                effects.log.extend(changed.faults.iter().map(|fault| format!("not published: {fault}")));
+            Input::GrantStored { grant } => {
+                let changed = self.publisher.granted(&grant);
+                effects
+                    .log
+                    .extend(changed.faults.iter().map(|violation| format!("not published: {violation}")));
                 granted.extend(changed.slices);
             }
-            Input::Kept { seq } => {
-                let told = self.chronicle.kept(seq);
-                effects.lines += told.len() as u32;
-                effects.changed.extend(told);
+            Input::HistoryPersisted { seq } => {
+                let publishable = self.history_recorder.kept(seq);
+                effects.lines_per_proxy += publishable.len() as u32;
+                effects.changed.extend(publishable);
             }
-            Input::Asked { id, ask } => self.asked.push((id, ask)),
+            Input::OperatorRequest { id, request } => self.operator_requests.push((id, request)),
         }
     }
 
-    /// Where the tries that were told went, how many wait, and what staff can look at.
-    pub fn load(&self) -> (&Ledger, u64, &Shown) {
+    /// What became of the reported tries, how many are queued, and the figures for operators.
+    pub fn load_reports(&self) -> (&Ledger, u64, &Shown) {
         (self.intake.ledger(), self.intake.waiting(), self.intake.shown())
     }
 
-    /// What is known of load, and by whom.
-    fn reports(&self, now: Duration) -> Answer {
+    /// The answer to a request for the state of load reporting.
+    fn reports_answer(&self, now: Duration) -> Answer {
         let (ledger, shown) = (*self.intake.ledger(), *self.intake.shown());
-        let line = |(id, hearing, late, rate): (ProxyId, Hearing, Duration, Option<f64>)| ReportsLine {
+        let proxy_line = |(id, hearing, late, rate): (ProxyId, Hearing, Duration, Option<f64>)| ReportsLine {
             proxy: self.names.proxy_name(id).to_string(),
             hearing: hearing.name().to_string(),
             late_ms: late.as_millis() as u64,
@@ -457,37 +465,39 @@
             lines_unsure: shown.unsure,
             error_most: shown.error_most,
             heard: shown.heard,
-            blind: self.blind,
+            blind: self.load_unknown,
             lag_ms_middle: shown.lag_middle.as_millis() as u64,
             lag_ms_most: shown.lag_most.as_millis() as u64,
-            proxies: self.intake.proxies(now).into_iter().map(line).collect(),
+            proxies: self.intake.proxies(now).into_iter().map(proxy_line).collect(),
         }))
     }
 
-    /// A proxy answered a mark, or left: for the measure of how long a mark takes until the last has answered.
-    fn follow(&mut self, proxy: ProxyId, answered: Option<(u16, Duration)>) {
-        let Some((mark, ordered, awaited)) = &mut self.followed else { return };
-        // Marks wrap; one that is not behind the followed one stands for it.
-        if answered.is_some_and(|(other, _)| other.wrapping_sub(*mark) > u16::MAX / 2) {
+    /// Notes that a proxy acknowledged a sequence number or left, to measure how long the last acknowledgement takes.
+    fn record_ack_progress(&mut self, proxy: ProxyId, acked: Option<(u16, Duration)>) {
+        let Some(followed) = &mut self.followed_ack else { return };
+        // Sequence numbers wrap; one that is not older than the followed one acknowledges it too.
+        if acked.is_some_and(|(other, _)| other.wrapping_sub(followed.ack_seq) > u16::MAX / 2) {
             return;
         }
-        awaited.remove(&proxy);
-        if awaited.is_empty() {
-            if let Some((_, now)) = answered {
-                self.rounds.saturating_record(now.saturating_sub(*ordered).as_micros() as u64);
+        followed.awaited.remove(&proxy);
+        if followed.awaited.is_empty() {
+            if let Some((_, now)) = acked {
+                let latency = now.saturating_sub(followed.ordered_at);
+                self.full_ack_latency.saturating_record(latency.as_micros() as u64);
             }
-            self.followed = None;
+            self.followed_ack = None;
         }
     }
 
-    /// From an order to its answer by one proxy, and by the last of all, in microseconds.
-    pub fn ways(&self) -> (&Histogram<u64>, &Histogram<u64>) {
-        (&self.answers, &self.rounds)
+    /// Microseconds from an order to its acknowledgement by one proxy, and by the last of all proxies.
+    pub fn ack_latencies(&self) -> (&Histogram<u64>, &Histogram<u64>) {
+        (&self.ack_latency, &self.full_ack_latency)
     }
 
-    fn entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> Entry {
+    /// The module's entry for a server of the list.
+    fn server_entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> Entry {
         let server: ServerName = entry.addr.to_string().into();
-        self.keeper.know(server.clone());
+        self.publisher.know(server.clone());
         Entry {
             ep: self.names.ep(&server),
             zone: self.names.zone(&entry.zone),
@@ -496,116 +506,121 @@
                 RosterState::Draining => Listed::Draining,
             },
             size: entry.size,
-            started: self.names.started(&server, entry.started_unix_ms, unix_ms, now),
+            started: self.names.start_time(&server, entry.started_unix_ms, unix_ms, now),
         }
     }
 
-    fn custody(&mut self, told: Told, events: &mut Vec<Event>, effects: &mut Effects) {
-        match told {
+    /// Applies the acquisition or release of a slice.
+    fn apply_custody_event(&mut self, custody_event: Told, events: &mut Vec<Event>, effects: &mut Effects) {
+        match custody_event {
             Told::Given { slice, epoch, owner } => {
                 let owner: Option<ServerName> = owner.map(Into::into);
-                self.keeper.give(slice, epoch, owner.clone());
+                self.publisher.give(slice, epoch, owner.clone());
                 events.push(Event::Given { slice });
                 if let Some(owner) = owner {
                     events.push(Event::Stored { slice, ep: self.names.ep(&owner) });
                 }
-                effects.taken.remove(&slice);
-                effects.given.insert(slice);
+                effects.released.remove(&slice);
+                effects.acquired.insert(slice);
             }
             Told::Taken { slice } => {
-                self.keeper.take(slice);
+                self.publisher.take(slice);
                 self.intake.drop_slice(slice);
                 events.push(Event::Taken { slice });
-                effects.given.remove(&slice);
+                effects.acquired.remove(&slice);
                 effects.changed.remove(&slice);
-                effects.taken.insert(slice);
+                effects.released.insert(slice);
             }
         }
     }
 
-    /// Ends at once, in tables, who drains and has been replaced. The module's grant takes its line away as it is
-    /// told, but waits for the store and our file here: reads went on past the grace while a disk stalled.
-    fn end_leaving_owners(&mut self, orders: &[Order], effects: &mut Effects) {
-        let (names, module, published) = (&mut self.names, &self.module, self.keeper.published());
-        let ends = orders.iter().filter_map(|order| {
+    /// Removes from the tables, at once, owners that are draining or gone and have been replaced. For the module the
+    /// grant itself removes the line, but here a grant waits for the store and the history file: with a stalled disk
+    /// reads would go on past the grace period.
+    fn revoke_leaving_owners(&mut self, orders: &[Order], effects: &mut Effects) {
+        let (names, module, published) = (&mut self.names, &self.module, self.publisher.published());
+        let revokes = orders.iter().filter_map(|order| {
             let Order::Grant { slice, .. } = order else { return None };
             let ep = names.ep(published.get(slice)?.owner.as_ref()?);
-            let leaves = matches!(module.health(ep.index), Health::Draining | Health::Gone);
-            leaves.then_some(Order::Revoke { slice: *slice, ep })
+            let is_leaving = matches!(module.health(ep.index), Health::Draining | Health::Gone);
+            is_leaving.then_some(Order::Revoke { slice: *slice, ep })
         });
-        let ends: Vec<Order> = ends.collect();
-        if ends.is_empty() {
+        let revokes: Vec<Order> = revokes.collect();
+        if revokes.is_empty() {
             return;
         }
-        let ended = self.keeper.apply(&ends, |_| None);
-        effects.log.extend(ended.faults.iter().map(|fault| format!("not published: {fault}")));
-        effects.lines += ended.slices.len() as u32;
-        effects.safety |= ended.safety;
-        effects.changed.extend(ended.slices);
+        let outcome = self.publisher.apply(&revokes, |_| None);
+        effects.log.extend(outcome.faults.iter().map(|violation| format!("not published: {violation}")));
+        effects.lines_per_proxy += outcome.slices.len() as u32;
+        effects.safety |= outcome.safety;
+        effects.changed.extend(outcome.slices);
     }
 
-    fn carry_out(&mut self, now: Duration, orders: &[Order], effects: &mut Effects) {
-        self.end_leaving_owners(orders, effects);
+    /// Applies the module's orders to the tables and collects the effects.
+    fn execute(&mut self, now: Duration, orders: &[Order], effects: &mut Effects) {
+        self.revoke_leaving_owners(orders, effects);
         let names = &self.names;
-        let changed = self.keeper.apply(orders, |index| names.server(index));
-        effects.log.extend(changed.faults.iter().map(|fault| format!("not published: {fault}")));
+        let changed = self.publisher.apply(orders, |index| names.server(index));
+        effects.log.extend(changed.faults.iter().map(|violation| format!("not published: {violation}")));
         effects.changed.extend(changed.slices);
         effects.safety |= changed.safety;
-        self.moves += changed.grants.len() as u64;
+        self.grants_ordered += changed.grants.len() as u64;
         effects.grants.extend(changed.grants);
         for order in orders {
             match order {
-                Order::Mark { mark } => {
-                    self.marks.insert(*mark, now);
-                    if self.followed.is_none() {
-                        self.followed = Some((*mark, now, self.joined.keys().copied().collect()));
+                Order::Mark { mark: ack_seq } => {
+                    self.ack_seq_ordered_at.insert(*ack_seq, now);
+                    if self.followed_ack.is_none() {
+                        let awaited = self.joined_streams.keys().copied().collect();
+                        self.followed_ack = Some(FollowedAck { ack_seq: *ack_seq, ordered_at: now, awaited });
                     }
-                    effects.mark = Some(*mark);
-                    // Marks far behind are answered by nobody any more.
-                    let old = mark.wrapping_sub(30_000);
-                    self.marks.remove(&old);
+                    effects.ack_seq = Some(*ack_seq);
+                    // No proxy acknowledges a sequence number that is this old.
+                    let old = ack_seq.wrapping_sub(30_000);
+                    self.ack_seq_ordered_at.remove(&old);
                 }
-                Order::Watch | Order::Fetch => effects.ask_roster = true,
+                Order::Watch | Order::Fetch => effects.fetch_roster = true,
                 Order::Probe { ep } => effects.probes.extend(names.server(ep.index)),
-                Order::Wake { after } => self.wake = now + *after,
-                Order::Log { text } => effects.log.push(name_servers(text, names)),
+                Order::Wake { after } => self.next_wake = now + *after,
+                Order::Log { text } => effects.log.push(with_server_names(text, names)),
                 Order::Grant { .. } | Order::Revoke { .. } | Order::Level { .. } => {}
             }
-            // A grant's line is paid when it leaves, once the store holds it.
-            let costs = order.costs_a_line() && !matches!(order, Order::Grant { .. });
-            effects.lines += u32::from(costs);
+            // A grant's line is counted when it is sent, once the store holds the grant.
+            let uses_line = order.costs_a_line() && !matches!(order, Order::Grant { .. });
+            effects.lines_per_proxy += u32::from(uses_line);
         }
-        if let (Some(mark), true) = (effects.mark, self.skips_the_wait) {
+        if let (Some(ack_seq), true) = (effects.ack_seq, self.skip_ack_wait) {
             let acks: Vec<Event> = self
-                .joined
+                .joined_streams
                 .keys()
-                .map(|proxy| Event::Acked { proxy: *proxy, mark, way: Duration::ZERO })
+                .map(|proxy| Event::Acked { proxy: *proxy, mark: ack_seq, way: Duration::ZERO })
                 .collect();
             let more = self.module.handle(now, &acks);
-            self.skips_the_wait = false;
-            self.carry_out(now, &more, effects);
-            self.skips_the_wait = true;
+            self.skip_ack_wait = false;
+            self.execute(now, &more, effects);
+            self.skip_ack_wait = true;
         }
     }
 }
 
-/// Up to a minute in microseconds, to two digits.
-fn ways() -> Histogram<u64> {
+/// A histogram of microseconds up to one minute, with two significant digits.
+fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
 
-/// The line for a change of what is known of load.
-fn reports_mode(blind: bool, shown: &Shown) -> String {
+/// The log line for when reported load becomes too little to decide on, or enough again.
+fn load_state_message(load_unknown: bool, shown: &Shown) -> String {
     let [heard, quiet, silent, cut] = shown.proxies;
-    let state = if blind { "too little is heard: nothing is decided on it" } else { "enough is heard again" };
+    let state =
+        if load_unknown { "too little is heard: nothing is decided on it" } else { "enough is heard again" };
     format!(
         "load reports: {state}; {:.0}% of the expected load, {heard} proxies heard, {quiet} quiet, {silent} silent, {cut} cut",
         shown.heard * 100.0
     )
 }
 
-/// The module names servers by number, in the order in which it met them; staff know them by address.
-fn name_servers(text: &str, names: &Names) -> String {
+/// Replaces the server index at the start of one of the module's log lines by the server's address.
+fn with_server_names(text: &str, names: &Names) -> String {
     let Some(rest) = text.strip_prefix("server ") else { return text.to_string() };
     let (number, rest) = rest.split_once(' ').unwrap_or((rest, ""));
     match number.parse().ok().and_then(|index| names.server(index)) {
@@ -614,10 +629,10 @@
     }
 }
 
-/// How long an owner waits for the file that is to keep it: a small part of the time that a proxy may be without one.
-fn withheld_most(config: &AssignerConfig) -> Duration {
-    const PART: u64 = 10;
-    Duration::from_millis(config.rules.empty_ms / PART)
+/// How long a new owner is withheld for the history file: a small part of the time that a proxy may lack an owner.
+fn max_withhold(config: &AssignerConfig) -> Duration {
+    const DIVISOR: u64 = 10;
+    Duration::from_millis(config.rules.empty_ms / DIVISOR)
 }
 
 #[cfg(test)]
--- a/crates/whinhill-assigner/src/history_file.rs
+++ b/crates/whinhill-assigner/src/history_file.rs
@@ -1,5 +1,5 @@
-//! The history's file, and the page that it has yet to take. A page that the disk refuses waits, is folded together
-//! with later ones and tried again: nothing is said to be kept before all of it is.
+//! The history file and the update that is still to be written to it. An update that the disk refuses stays pending, is
+//! merged with later ones and retried: none of it is reported as persisted before all of it is.
 
 use std::path::{Path, PathBuf};
 
@@ -7,49 +7,49 @@
 use whinhill_tables::rollback::Rollback;
 use whinhill_tables::{History, Limits};
 
-use crate::chronicle::Numbered;
+use crate::history_recorder::NumberedUpdate;
 use crate::retry::Retry;
 
-/// What the file holds for certain.
+/// What the file is known to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kept {
-    /// The number of the last page, as in [`Numbered`].
+    /// The number of the last update, as in [`NumberedUpdate`].
     pub seq: u64,
     /// The newest version.
     pub version: u64,
 }
 
-/// The file and the page that waits for it. Whoever holds it is the only one that writes there.
+/// The file and the pending update. Its holder is the only writer of the file.
 pub struct HistoryFile {
     path: PathBuf,
     limits: Limits,
-    /// `None` after a failure: the file is opened afresh, since a store that failed in a write takes no further one.
-    book: Option<Book>,
-    waiting: Option<Numbered>,
+    /// `None` after a failure: the file is reopened, since a database that failed in a write accepts no further one.
+    db: Option<Book>,
+    pending: Option<NumberedUpdate>,
 }
 
 impl HistoryFile {
-    /// One that is opened with the first page.
+    /// A file that is opened with the first update.
     pub(crate) fn unopened(path: &Path, limits: Limits) -> Self {
-        HistoryFile { path: path.to_path_buf(), limits, book: None, waiting: None }
+        HistoryFile { path: path.to_path_buf(), limits, db: None, pending: None }
     }
 
-    /// Opens the file or begins one; returns the history and the rollbacks that it holds.
+    /// Opens or creates the file; returns the history and the rollbacks that it holds.
     ///
     /// # Errors
-    /// When the disk refuses it, or the file is no history.
+    /// When the disk refuses, or the file is not a history.
     pub fn open(path: &Path, limits: Limits) -> Result<(Self, History, Vec<Rollback>), BookError> {
-        let (book, history) = Book::open(path, limits)?;
-        let rollbacks = book.rollbacks()?;
-        let file = HistoryFile { book: Some(book), ..Self::unopened(path, limits) };
+        let (db, history) = Book::open(path, limits)?;
+        let rollbacks = db.rollbacks()?;
+        let file = HistoryFile { db: Some(db), ..Self::unopened(path, limits) };
         Ok((file, history, rollbacks))
     }
 
-    /// The same, made again while the disk refuses.
+    /// Like [`HistoryFile::open`], but retries while the disk refuses.
     ///
     /// # Errors
-    /// When the file is no history, or the disk refuses it for as long as is waited.
-    pub fn open_again(
+    /// When the file is not a history, or the disk refuses until the retries end.
+    pub fn open_with_retry(
         path: &Path,
         limits: Limits,
         retry: &Retry<'_>,
@@ -62,31 +62,33 @@
         &self.path
     }
 
-    /// Adds a page to what is to be kept.
-    pub fn put(&mut self, page: Numbered) {
-        Numbered::put(&mut self.waiting, Some(page));
+    /// Merges an update into the pending one.
+    pub fn put(&mut self, update: NumberedUpdate) {
+        NumberedUpdate::put(&mut self.pending, Some(update));
     }
 
-    /// Whether a page waits to be kept.
+    /// Whether an update is pending.
     pub fn has_waiting(&self) -> bool {
-        self.waiting.is_some()
+        self.pending.is_some()
     }
 
-    /// Keeps what waits; `None` if nothing does. After an error nothing is known to be kept, and all of it waits on.
+    /// Persists the pending update; `None` if there is none. After an error none of it is known to be persisted, and
+    /// all of it stays pending.
     pub fn keep(&mut self) -> Result<Option<Kept>, BookError> {
-        let Some(Numbered { seq, page }) = self.waiting.take() else { return Ok(None) };
-        let kept = self.opened().and_then(|book| book.keep(&page));
-        if let Err(error) = kept {
-            self.book = None;
-            self.waiting = Some(Numbered { seq, page });
+        let Some(NumberedUpdate { seq, update }) = self.pending.take() else { return Ok(None) };
+        let result = self.open_db().and_then(|db| db.keep(&update));
+        if let Err(error) = result {
+            self.db = None;
+            self.pending = Some(NumberedUpdate { seq, update });
             return Err(error);
         }
-        Ok(Some(Kept { seq, version: page.number }))
+        Ok(Some(Kept { seq, version: update.number }))
     }
 
-    fn opened(&mut self) -> Result<&mut Book, BookError> {
-        match &mut self.book {
-            Some(book) => Ok(book),
+    /// The open database.
+    fn open_db(&mut self) -> Result<&mut Book, BookError> {
+        match &mut self.db {
+            Some(db) => Ok(db),
             none => Ok(none.insert(Book::open(&self.path, self.limits)?.0)),
         }
     }
--- a/crates/whinhill-assigner/src/book.rs
+++ b/crates/whinhill-assigner/src/history_writer.rs
@@ -1,5 +1,5 @@
-//! The thread that keeps pages of the history in their file. What can't be kept is folded together and tried again;
-//! grants that wait for it stay untold, and nothing else waits.
+//! The thread that persists history updates. Updates that can't be written are merged and retried; grants that depend
+//! on them are withheld meanwhile, and nothing else waits.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -8,47 +8,50 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use tracing::{info, warn};
 
-use crate::chronicle::Numbered;
 use crate::core::Input;
 use crate::history_file::{HistoryFile, Kept};
+use crate::history_recorder::NumberedUpdate;
 use crate::status::Counters;
 
-const LOOK: Duration = Duration::from_millis(100);
-/// Between two attempts while the disk refuses.
-const AGAIN: Duration = Duration::from_millis(500);
+/// How long the thread waits for an update before it checks again.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay between two attempts while the disk refuses.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-pub struct Bookkeeper {
+/// What the thread works with.
+pub struct HistoryWriter {
     pub file: HistoryFile,
-    pub pages: Receiver<Numbered>,
+    pub queued_updates: Receiver<NumberedUpdate>,
     pub inputs: Sender<(Input, Option<Sender<()>>)>,
     pub counters: Arc<Counters>,
     pub stop: Arc<AtomicBool>,
 }
 
-impl Bookkeeper {
+impl HistoryWriter {
+    /// Runs until the queue of updates is closed, or the assigner stops while the disk refuses.
     pub fn run(mut self) {
-        let mut well = true;
+        let mut healthy = true;
         loop {
-            let wait = if self.file.has_waiting() { AGAIN } else { LOOK };
-            match self.pages.recv_timeout(wait) {
-                Ok(page) => self.file.put(page),
+            let wait = if self.file.has_waiting() { RETRY_DELAY } else { POLL_INTERVAL };
+            match self.queued_updates.recv_timeout(wait) {
+                Ok(update) => self.file.put(update),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.pages.try_iter().for_each(|page| self.file.put(page));
+            self.queued_updates.try_iter().for_each(|update| self.file.put(update));
             match self.file.keep() {
                 Ok(None) => {}
                 Ok(Some(Kept { seq, .. })) => {
-                    if !std::mem::replace(&mut well, true) {
-                        info!(seq, "the history is kept again");
+                    if !std::mem::replace(&mut healthy, true) {
+                        info!(seq, "the history is written again");
                     }
-                    if self.inputs.send((Input::Kept { seq }, None)).is_err() {
+                    if self.inputs.send((Input::HistoryPersisted { seq }, None)).is_err() {
                         return;
                     }
                 }
                 Err(error) => {
                     Counters::add(&self.counters.history_failures, 1);
-                    if std::mem::replace(&mut well, false) {
+                    if std::mem::replace(&mut healthy, false) {
                         let path = self.file.path().display();
                         warn!(%error, %path, "the history can't be kept: grants wait a while, all else goes on");
                     }
--- a/crates/whinhill-assigner/src/hub.rs
+++ b/crates/whinhill-assigner/src/hub.rs
@@ -1,5 +1,5 @@
-//! The streams of all proxies: two threads each, one that reads and one that writes. Neither decides anything:
-//! what a stream must say is in its state machine and the cache.
+//! Serves the streams of all proxies. A table stream has two threads, a reader and a writer; a load report stream has
+//! one. No thread decides anything: what a stream must send follows from its state machine and the cache.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,35 +13,38 @@
 use whinhill_xds::mapping::Service;
 use whinhill_xds::{proto, Cache, Heard, Kind, Reply, Request, ServerStream, Variant, LRS_PATH};
 
-use crate::channel::Parcel;
+use crate::channel::ProxyMessage;
 use crate::core::Input;
-use crate::joins::{Due, Joins};
+use crate::custody_thread::CustodyLease;
+use crate::full_set_pacer::{FullSetPacer, PendingSend};
 use crate::status::Counters;
-use crate::stewards::Charge;
-
-/// How often a thread that waits for a peer looks whether its stream has ended. What must happen sooner wakes it.
-const LOOK: Duration = Duration::from_millis(500);
-/// When to try a renewal again that could not be sent: something was due or unanswered.
-const AGAIN: Duration = Duration::from_millis(50);
-/// A proxy that takes nothing in for this long has lost its stream.
-const WRITE_WITHIN: Duration = Duration::from_secs(3);
-/// The first message names the proxy; it must come within this.
-const FIRST_WITHIN: Duration = Duration::from_secs(2);
-/// A name or zone longer than this is refused.
-const NAME_MOST: usize = 200;
-/// Names over a run, for each proxy that may be connected: proxies that are replaced come under new ones.
-const NAMES_A_PROXY: usize = 64;
 
+/// How often a thread that waits for a peer checks whether its stream has ended. Anything more urgent wakes it.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay before a lease renewal is retried that could not be sent because a response was due or unacknowledged.
+const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A stream is closed when the proxy reads nothing for this long.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The first message, which names the proxy, must arrive within this time.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest name or zone that is accepted.
+const MAX_NAME_BYTES: usize = 200;
+/// Distinct names in the life of the process, for each proxy that may be connected: replaced proxies have new names.
+const MAX_NAMES_PER_PROXY: usize = 64;
+
+/// The decision thread's input queue. A sender that needs to know when its input was handled adds a channel for that.
 pub type Inputs = Sender<(Input, Option<Sender<()>>)>;
 
+/// A proxy's table stream, shared by its two threads.
 struct Stream {
     id: u64,
     proxy: String,
     state: Mutex<ServerStream>,
+    /// Wakes the writer.
     wake: Sender<()>,
     closed: AtomicBool,
-    /// A safety order is among what is due: it waits for no pace.
-    urgent: AtomicBool,
+    /// A safety order is among the changes to send, so they are not paced.
+    safety_pending: AtomicBool,
 }
 
 impl Stream {
@@ -55,79 +58,87 @@
     }
 
     fn wake(&self) {
-        // A full channel means that it will wake anyway.
+        // If the channel is full, the writer is about to wake anyway.
         let _ = self.wake.try_send(());
     }
 }
 
+/// All streams, and what their threads share.
 pub struct Hub {
+    /// The service whose tables are sent.
     pub service: Arc<Service>,
+    /// The resources that all streams send.
     pub cache: RwLock<Cache>,
+    /// The table stream of each connected proxy.
     streams: Mutex<BTreeMap<String, Arc<Stream>>>,
-    /// Names that proxies have come under. Each is remembered by the decisions, so their number is bounded.
-    names: Mutex<BTreeSet<String>>,
-    ids: AtomicU64,
+    /// Names that proxies have used. The decision thread keeps state for each, so their number is bounded.
+    proxy_names: Mutex<BTreeSet<String>>,
+    last_stream_id: AtomicU64,
     inputs: Inputs,
     workers: Workers,
     counters: Arc<Counters>,
-    charge: Arc<Charge>,
+    custody_lease: Arc<CustodyLease>,
     start: Instant,
-    base: Duration,
-    answer_within: Duration,
-    proxies_most: usize,
-    report_every: Duration,
-    /// Proxies that are to report at another pace.
-    paces: Mutex<BTreeMap<String, Duration>>,
+    clock_base: Duration,
+    ack_timeout: Duration,
+    max_proxies: usize,
+    report_period: Duration,
+    /// Report intervals of proxies that differ from `report_period`.
+    report_intervals: Mutex<BTreeMap<String, Duration>>,
     stop: AtomicBool,
-    /// The names of all clusters, by slice and method, in the one copy that all streams share.
-    clusters: Vec<Arc<str>>,
-    joins: Mutex<Joins>,
-    /// Whether orders wait in the channel.
-    orders_wait: AtomicBool,
+    /// The names of all clusters, by slice and method, in one copy that all streams share.
+    cluster_names: Vec<Arc<str>>,
+    full_set_pacer: Mutex<FullSetPacer>,
+    /// Whether orders are queued in the channel.
+    orders_queued: AtomicBool,
 }
 
+/// Limits and periods of a [`Hub`].
 pub struct HubConfig {
-    pub answer_within: Duration,
-    pub proxies_most: usize,
-    pub report_every: Duration,
-    /// The pace of full sets.
+    /// A stream is closed when an ack sequence number stays unacknowledged for this long.
+    pub ack_timeout: Duration,
+    pub max_proxies: usize,
+    pub report_period: Duration,
+    /// The rate at which full sets are sent, in lines per second.
     pub full_lines_per_s: f64,
     pub start: Instant,
-    pub base: Duration,
+    /// The assigner's clock at `start`.
+    pub clock_base: Duration,
 }
 
 impl Hub {
+    /// A hub without streams.
     pub fn new(
         service: Arc<Service>,
         inputs: Inputs,
         counters: Arc<Counters>,
-        charge: Arc<Charge>,
+        custody_lease: Arc<CustodyLease>,
         config: HubConfig,
     ) -> Self {
         // Reader and writer of a table stream, and one thread for load reports.
-        let workers = Workers::new("stream", config.proxies_most * 3 + 8, 192 << 10);
-        let names = |slice| (0..service.methods.len()).map(move |method| (slice, method));
-        let all = (0..service.slices).flat_map(names);
-        let clusters = all.map(|(slice, method)| service.cluster_name(slice, method).into()).collect();
+        let workers = Workers::new("stream", config.max_proxies * 3 + 8, 192 << 10);
+        let methods_of = |slice| (0..service.methods.len()).map(move |method| (slice, method));
+        let all = (0..service.slices).flat_map(methods_of);
+        let cluster_names = all.map(|(slice, method)| service.cluster_name(slice, method).into()).collect();
         Hub {
-            clusters,
-            joins: Mutex::new(Joins::new(config.full_lines_per_s)),
-            orders_wait: AtomicBool::new(false),
+            cluster_names,
+            full_set_pacer: Mutex::new(FullSetPacer::new(config.full_lines_per_s)),
+            orders_queued: AtomicBool::new(false),
             service,
             cache: RwLock::default(),
             streams: Mutex::default(),
-            names: Mutex::default(),
-            ids: AtomicU64::new(0),
+            proxy_names: Mutex::default(),
+            last_stream_id: AtomicU64::new(0),
             inputs,
             workers,
             counters,
-            charge,
+            custody_lease,
             start: config.start,
-            base: config.base,
-            answer_within: config.answer_within,
-            proxies_most: config.proxies_most,
-            report_every: config.report_every,
-            paces: Mutex::default(),
+            clock_base: config.clock_base,
+            ack_timeout: config.ack_timeout,
+            max_proxies: config.max_proxies,
+            report_period: config.report_period,
+            report_intervals: Mutex::default(),
             stop: AtomicBool::new(false),
         }
     }
@@ -136,7 +147,7 @@
         self.streams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a call; runs on a driver thread.
+    /// Accepts a call; runs on a driver thread.
     pub fn accept(self: &Arc<Self>, call: ServerCall) {
         let full =
             |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many streams", Trailers::new());
@@ -147,15 +158,15 @@
         if self.stop.load(Ordering::Relaxed) {
             return call.refuse(Code::Unavailable, "the assigner stops", Trailers::new());
         }
-        if self.streams().len() >= self.proxies_most {
+        if self.streams().len() >= self.max_proxies {
             return full(call);
         }
         let hub = self.clone();
         let serve = move |call: ServerCall| {
             let peer = call.peer;
             let result = match variant {
-                Some(variant) => hub.tables(call, variant),
-                None => hub.reports(call),
+                Some(variant) => hub.serve_tables(call, variant),
+                None => hub.serve_reports(call),
             };
             if let Err(error) = result {
                 debug!(%peer, %error, "stream ended");
@@ -164,101 +175,108 @@
         self.workers.hand(call, serve, full);
     }
 
-    fn reports(&self, call: ServerCall) -> Result<(), CallError> {
+    /// Serves a load report stream until it ends.
+    fn serve_reports(&self, call: ServerCall) -> Result<(), CallError> {
         let (mut reader, mut writer) = call.open()?;
-        let bad = |_| CallError::Malformed("a message that is none of the protocol's");
-        let first = reader.recv(FIRST_WITHIN)?.ok_or(CallError::Malformed("no first message"))?;
-        let first = proto::LoadStatsRequest::decode(first).map_err(bad)?;
+        let malformed = |_| CallError::Malformed("a message that is none of the protocol's");
+        let first = reader.recv(FIRST_MESSAGE_TIMEOUT)?.ok_or(CallError::Malformed("no first message"))?;
+        let first = proto::LoadStatsRequest::decode(first).map_err(malformed)?;
         let node = first.node.unwrap_or_default();
         let (proxy, zone) = (node.id, node.locality.map(|l| l.zone).unwrap_or_default());
-        if proxy.is_empty() || proxy.len() > NAME_MOST || zone.len() > NAME_MOST {
+        if proxy.is_empty() || proxy.len() > MAX_NAME_BYTES || zone.len() > MAX_NAME_BYTES {
             let what = "the first message must name a node";
             return writer.close(Code::InvalidArgument, what, Trailers::new());
         }
-        if !self.admits(&proxy) {
+        if !self.admit_name(&proxy) {
             return writer.close(Code::ResourceExhausted, "too many names of proxies", Trailers::new());
         }
-        let _expected = Reporting::begin(self, &proxy, &zone);
-        let mut asked = self.report_every;
-        writer.send(&report_every(asked).encode_to_vec(), WRITE_WITHIN)?;
+        let _expected = OpenReportStream::begin(self, &proxy, &zone);
+        let mut current = self.report_period;
+        writer.send(&report_interval_response(current).encode_to_vec(), WRITE_TIMEOUT)?;
         while !self.stop.load(Ordering::Relaxed) {
-            let wanted = self.pace(&proxy);
-            if wanted != std::mem::replace(&mut asked, wanted) {
-                writer.send(&report_every(asked).encode_to_vec(), WRITE_WITHIN)?;
+            let wanted = self.report_interval(&proxy);
+            if wanted != std::mem::replace(&mut current, wanted) {
+                writer.send(&report_interval_response(current).encode_to_vec(), WRITE_TIMEOUT)?;
             }
-            let message = match reader.recv(LOOK) {
+            let message = match reader.recv(POLL_INTERVAL) {
                 Err(CallError::Deadline(_)) => continue,
                 other => match other? {
                     Some(message) => message,
                     None => break,
                 },
             };
-            let report = proto::LoadStatsRequest::decode(message).map_err(bad)?;
+            let report = proto::LoadStatsRequest::decode(message).map_err(malformed)?;
             let input = Input::Report { proxy: proxy.clone(), zone: zone.clone(), report };
-            if self.inputs.send_timeout((input, None), WRITE_WITHIN).is_err() {
+            if self.inputs.send_timeout((input, None), WRITE_TIMEOUT).is_err() {
                 break;
             }
         }
         writer.close(Code::Ok, "", Trailers::new())
     }
 
-    /// How often a proxy is to report now.
-    fn pace(&self, proxy: &str) -> Duration {
-        let paces = self.paces.lock().unwrap_or_else(PoisonError::into_inner);
-        paces.get(proxy).copied().unwrap_or(self.report_every)
+    /// The report interval of a proxy.
+    fn report_interval(&self, proxy: &str) -> Duration {
+        let intervals = self.report_intervals.lock().unwrap_or_else(PoisonError::into_inner);
+        intervals.get(proxy).copied().unwrap_or(self.report_period)
     }
 
-    /// Has a proxy report this often; it is told with its next report. Bounded by the names of proxies.
-    pub fn set_pace(&self, proxy: &str, every: Duration) {
-        let mut paces = self.paces.lock().unwrap_or_else(PoisonError::into_inner);
-        if every == self.report_every {
-            paces.remove(proxy);
+    /// Sets the report interval of a proxy, which is sent after its next report. The number of proxies is bounded, as
+    /// their names are.
+    pub fn set_report_interval(&self, proxy: &str, interval: Duration) {
+        let mut intervals = self.report_intervals.lock().unwrap_or_else(PoisonError::into_inner);
+        if interval == self.report_period {
+            intervals.remove(proxy);
         } else {
-            paces.insert(proxy.to_string(), every);
+            intervals.insert(proxy.to_string(), interval);
         }
     }
 
-    fn tables(self: &Arc<Self>, call: ServerCall, variant: Variant) -> Result<(), CallError> {
+    /// Serves a table stream until it ends.
+    fn serve_tables(self: &Arc<Self>, call: ServerCall, variant: Variant) -> Result<(), CallError> {
         let (mut reader, mut writer) = call.open()?;
-        let bad = |_| CallError::Malformed("a message that is none of the protocol's");
-        let first = reader.recv(FIRST_WITHIN)?.ok_or(CallError::Malformed("no first message"))?;
-        let first = Request::decode(variant, &first).map_err(bad)?;
+        let malformed = |_| CallError::Malformed("a message that is none of the protocol's");
+        let first = reader.recv(FIRST_MESSAGE_TIMEOUT)?.ok_or(CallError::Malformed("no first message"))?;
+        let first = Request::decode(variant, &first).map_err(malformed)?;
         let node = first.node().cloned().unwrap_or_default();
         let zone = node.locality.map(|l| l.zone).unwrap_or_default();
-        if node.id.is_empty() || node.id.len() > NAME_MOST || zone.len() > NAME_MOST {
+        if node.id.is_empty() || node.id.len() > MAX_NAME_BYTES || zone.len() > MAX_NAME_BYTES {
             return writer.close(
                 Code::InvalidArgument,
                 "the first message must name a node",
                 Trailers::new(),
             );
         }
-        if !self.admits(&node.id) {
-            warn!(proxy = %node.id, most = self.proxies_most * NAMES_A_PROXY, "too many names of proxies: refused");
+        if !self.admit_name(&node.id) {
+            warn!(proxy = %node.id, most = self.max_proxies * MAX_NAMES_PER_PROXY, "too many names of proxies: refused");
             return writer.close(Code::ResourceExhausted, "too many names of proxies", Trailers::new());
         }
         let (wake, woken) = bounded(1);
         let stream = Arc::new(Stream {
-            id: self.ids.fetch_add(1, Ordering::Relaxed) + 1,
+            id: self.last_stream_id.fetch_add(1, Ordering::Relaxed) + 1,
             proxy: node.id.clone(),
             state: Mutex::new(ServerStream::new(variant, &node.client_features)),
             wake,
             closed: AtomicBool::new(false),
-            urgent: AtomicBool::new(false),
+            safety_pending: AtomicBool::new(false),
         });
         Counters::add(&self.counters.streams, 1);
-        // Of two streams of one proxy the older loses: only the newer can be the one that it reads.
+        // Of two streams of one proxy the older is closed: the proxy can only be reading the newer one.
         let old = self.streams().insert(node.id.clone(), stream.clone());
         if let Some(old) = old {
             info!(proxy = %node.id, old = old.id, new = stream.id, "a second stream: the older is closed");
             old.close();
         }
         debug!(proxy = %node.id, stream = stream.id, ?variant, "table stream opened");
-        self.tell(Input::Joined { proxy: node.id.clone(), zone, stream: stream.id });
-        let (hub, writing) = (self.clone(), stream.clone());
+        self.send_input(Input::ProxyJoined { proxy: node.id.clone(), zone, stream: stream.id });
+        let (hub, write_stream) = (self.clone(), stream.clone());
         let mut no_thread = false;
-        self.workers.hand(writer, move |writer| hub.write(&writing, writer, &woken), |_| no_thread = true);
+        self.workers.hand(
+            writer,
+            move |writer| hub.write_responses(&write_stream, writer, &woken),
+            |_| no_thread = true,
+        );
         let result = match no_thread {
-            false => self.read(&stream, &mut reader, first, variant),
+            false => self.read_requests(&stream, &mut reader, first, variant),
             true => Err(CallError::Reset("no thread is free to write".into())),
         };
         stream.close();
@@ -268,38 +286,40 @@
                 streams.remove(&stream.proxy);
             }
         }
-        self.tell(Input::Left { proxy: stream.proxy.clone(), stream: stream.id });
+        self.send_input(Input::ProxyLeft { proxy: stream.proxy.clone(), stream: stream.id });
         result
     }
 
-    /// Whether a proxy of that name may come: one that was here, or one more than there were.
-    fn admits(&self, name: &str) -> bool {
-        let mut names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
-        if !names.contains(name) && names.len() >= self.proxies_most * NAMES_A_PROXY {
+    /// Admits a proxy's name if it is known or the number of names is below its limit.
+    fn admit_name(&self, name: &str) -> bool {
+        let mut names = self.proxy_names.lock().unwrap_or_else(PoisonError::into_inner);
+        if !names.contains(name) && names.len() >= self.max_proxies * MAX_NAMES_PER_PROXY {
             return false;
         }
         names.insert(name.to_string());
         true
     }
 
-    fn tell(&self, input: Input) {
-        // The decision thread has ended: so will the stream.
+    /// Queues an input for the decision thread.
+    fn send_input(&self, input: Input) {
+        // This fails only after the decision thread has ended; then the stream ends too.
         let _ = self.inputs.send((input, None));
     }
 
-    fn read(
+    /// Reads a table stream's requests until it ends.
+    fn read_requests(
         &self,
         stream: &Arc<Stream>,
         reader: &mut MessageReader,
         first: Request,
         variant: Variant,
     ) -> Result<(), CallError> {
-        self.hear(stream, &first)?;
+        self.handle_request(stream, &first)?;
         loop {
             if stream.closed.load(Ordering::Relaxed) || self.stop.load(Ordering::Relaxed) {
                 return Ok(());
             }
-            let message = match reader.recv(LOOK) {
+            let message = match reader.recv(POLL_INTERVAL) {
                 Err(CallError::Deadline(_)) => continue,
                 other => match other? {
                     Some(message) => message,
@@ -308,13 +328,14 @@
             };
             let request = Request::decode(variant, &message)
                 .map_err(|_| CallError::Malformed("a message that is none of the protocol's"))?;
-            self.hear(stream, &request)?;
+            self.handle_request(stream, &request)?;
         }
     }
 
-    fn hear(&self, stream: &Arc<Stream>, request: &Request) -> Result<(), CallError> {
+    /// Passes a request to the stream's state machine, and logs and counts the outcome.
+    fn handle_request(&self, stream: &Arc<Stream>, request: &Request) -> Result<(), CallError> {
         let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
-        let (heard, marks) = {
+        let (heard, ack_seqs) = {
             let mut state = stream.state();
             let heard = state.hear(request, &cache);
             (heard, state.take_acked(&cache))
@@ -337,132 +358,141 @@
                 return Err(CallError::Reset(error.to_string()));
             }
         }
-        self.tell_acked(stream, marks);
+        self.forward_acks(stream, ack_seqs);
         stream.wake();
         Ok(())
     }
 
-    fn tell_acked(&self, stream: &Stream, marks: Vec<u16>) {
-        for mark in marks {
-            self.tell(Input::Acked { proxy: stream.proxy.clone(), stream: stream.id, mark });
+    /// Passes acknowledged sequence numbers to the decision thread.
+    fn forward_acks(&self, stream: &Stream, ack_seqs: Vec<u16>) {
+        for ack_seq in ack_seqs {
+            self.send_input(Input::Acked { proxy: stream.proxy.clone(), stream: stream.id, ack_seq });
         }
     }
 
-    fn write(&self, stream: &Arc<Stream>, mut writer: MessageWriter, woken: &Receiver<()>) {
-        let beat_every = self.service.write_lease / 5;
-        let gate = self.service.listener_name(true);
-        let mut next_beat = Instant::now() + beat_every;
-        let mut answered = Instant::now();
-        let (mut full_set_in, mut waits_since) = (LOOK, None);
+    /// Writes a table stream's responses and lease renewals until it ends.
+    fn write_responses(&self, stream: &Arc<Stream>, mut writer: MessageWriter, woken: &Receiver<()>) {
+        let heartbeat_interval = self.service.write_lease / 5;
+        let listener = self.service.listener_name(true);
+        let mut next_heartbeat = Instant::now() + heartbeat_interval;
+        let mut all_acked_at = Instant::now();
+        let (mut retry_in, mut waiting_since) = (POLL_INTERVAL, None);
         while !stream.closed.load(Ordering::Relaxed) && !self.stop.load(Ordering::Relaxed) {
-            let until_beat = next_beat.saturating_duration_since(Instant::now());
-            let _ = woken.recv_timeout(LOOK.min(until_beat).min(full_set_in));
-            full_set_in = LOOK;
+            let until_heartbeat = next_heartbeat.saturating_duration_since(Instant::now());
+            let _ = woken.recv_timeout(POLL_INTERVAL.min(until_heartbeat).min(retry_in));
+            retry_in = POLL_INTERVAL;
             loop {
-                if let Err(wait) = self.may_send(stream, &mut waits_since) {
-                    full_set_in = wait;
+                if let Err(wait) = self.try_send(stream, &mut waiting_since) {
+                    retry_in = wait;
                     break;
                 }
-                let (response, marks) = {
+                let (response, ack_seqs) = {
                     let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
                     let mut state = stream.state();
                     let mut response = state.next(&cache);
-                    // The lease is renewed only while our charge holds; what was renewed before then runs out.
-                    if response.is_none() && Instant::now() >= next_beat {
-                        if self.charged() {
-                            response = state.heartbeat(Kind::Route, &gate, &cache);
+                    // The write lease is renewed only while this assigner's custody lease is valid; otherwise it
+                    // runs out.
+                    if response.is_none() && Instant::now() >= next_heartbeat {
+                        if self.holds_custody() {
+                            response = state.heartbeat(Kind::Route, &listener, &cache);
                         }
-                        next_beat = Instant::now() + if response.is_some() { beat_every } else { AGAIN };
+                        next_heartbeat = Instant::now()
+                            + if response.is_some() { heartbeat_interval } else { HEARTBEAT_RETRY_DELAY };
                     }
-                    let marks = state.take_acked(&cache);
+                    let ack_seqs = state.take_acked(&cache);
                     if state.due() == 0 {
-                        stream.urgent.store(false, Ordering::Relaxed);
+                        stream.safety_pending.store(false, Ordering::Relaxed);
                     }
                     if state.marks_open() == 0 {
-                        answered = Instant::now();
+                        all_acked_at = Instant::now();
                     }
-                    (response, marks)
+                    (response, ack_seqs)
                 };
-                self.tell_acked(stream, marks);
+                self.forward_acks(stream, ack_seqs);
                 let Some(response) = response else { break };
                 if let Err(error) = self.send(&mut writer, &response) {
-                    debug!(proxy = %stream.proxy, %error, "stream lost in a write");
+                    debug!(proxy = %stream.proxy, %error, "writing to a stream failed");
                     return stream.close();
                 }
             }
-            if answered.elapsed() > self.answer_within {
-                warn!(proxy = %stream.proxy, within = ?self.answer_within, "no answer to a mark: stream closed");
+            if all_acked_at.elapsed() > self.ack_timeout {
+                warn!(proxy = %stream.proxy, within = ?self.ack_timeout, "an ack sequence number was not acknowledged in time: stream closed");
                 break;
             }
         }
         stream.close();
-        // The peer may be gone already.
+        // The peer may have disconnected already.
         let _ = writer.close(Code::Unavailable, "the stream ends here", Trailers::new());
     }
 
-    /// Whether what is due on a stream may be sent now. `since` is when it began to wait, if it does.
-    fn may_send(&self, stream: &Stream, since: &mut Option<Duration>) -> Result<(), Duration> {
-        let now = self.base + self.start.elapsed();
-        let due = Due {
+    /// Whether the responses due on a stream may be sent now; if not, how long to wait before the next attempt.
+    /// `waiting_since` is when they began to wait, if they do.
+    fn try_send(&self, stream: &Stream, waiting_since: &mut Option<Duration>) -> Result<(), Duration> {
+        let now = self.clock_base + self.start.elapsed();
+        let pending = PendingSend {
             lines: stream.state().due(),
-            urgent: stream.urgent.load(Ordering::Relaxed),
-            since: *since.get_or_insert(now),
-            orders_wait: self.orders_wait.load(Ordering::Relaxed),
+            safety: stream.safety_pending.load(Ordering::Relaxed),
+            waiting_since: *waiting_since.get_or_insert(now),
+            orders_queued: self.orders_queued.load(Ordering::Relaxed),
         };
-        let may = self.joins.lock().unwrap_or_else(PoisonError::into_inner).take(now, due);
-        if may.is_ok() {
-            *since = None;
+        let result =
+            self.full_set_pacer.lock().unwrap_or_else(PoisonError::into_inner).try_send(now, pending);
+        if result.is_ok() {
+            *waiting_since = None;
         }
-        may
+        result
     }
 
-    /// Tells streams with full sets whether orders wait in the channel.
-    pub fn orders_wait(&self, wait: bool) {
-        self.orders_wait.store(wait, Ordering::Relaxed);
+    /// Sets whether orders are queued in the channel, since full sets wait for them.
+    pub fn set_orders_queued(&self, queued: bool) {
+        self.orders_queued.store(queued, Ordering::Relaxed);
     }
 
-    /// Lines of full sets so far, and how often one waited.
+    /// Lines of full sets sent so far, and how often sending one was delayed.
     pub fn full_sets(&self) -> (u64, u64) {
-        self.joins.lock().unwrap_or_else(PoisonError::into_inner).counts()
+        self.full_set_pacer.lock().unwrap_or_else(PoisonError::into_inner).counts()
     }
 
-    fn charged(&self) -> bool {
-        self.charge.holds(self.base + self.start.elapsed())
+    /// Whether this assigner's custody lease is valid.
+    fn holds_custody(&self) -> bool {
+        self.custody_lease.holds(self.clock_base + self.start.elapsed())
     }
 
+    /// Writes one response.
     fn send(&self, writer: &mut MessageWriter, response: &Reply) -> Result<(), CallError> {
         let bytes = response.encode();
         Counters::add(&self.counters.bytes, bytes.len() as u64);
-        writer.send(&bytes, WRITE_WITHIN)
+        writer.send(&bytes, WRITE_TIMEOUT)
     }
 
-    /// Hands a parcel to a proxy's stream. The stream reads the tables from the cache when it writes.
-    pub fn deliver(&self, proxy: &str, parcel: &Parcel) {
+    /// Gives a message to a proxy's stream. The stream reads the tables from the cache when it writes.
+    pub fn deliver(&self, proxy: &str, message: &ProxyMessage) {
         let Some(stream) = self.streams().get(proxy).cloned() else { return };
         let methods = self.service.methods.len();
         {
             let mut state = stream.state();
-            // Under the stream's lock, as its end is: else a writer that finds nothing due yet would undo it.
-            if parcel.safety {
-                stream.urgent.store(true, Ordering::Relaxed);
+            // Set under the state's lock, as it is cleared: otherwise a writer that finds nothing due yet would clear
+            // it.
+            if message.safety {
+                stream.safety_pending.store(true, Ordering::Relaxed);
             }
-            for &slice in &parcel.slices {
+            for &slice in &message.slices {
                 for method in 0..methods {
-                    state.changed(Kind::Endpoints, &self.clusters[slice * methods + method]);
+                    state.changed(Kind::Endpoints, &self.cluster_names[slice * methods + method]);
                 }
             }
-            parcel.marks.iter().for_each(|mark| state.mark(*mark));
+            message.ack_seqs.iter().for_each(|ack_seq| state.mark(*ack_seq));
         }
         stream.wake();
     }
 
-    /// The name of a cluster, shared.
-    pub fn cluster(&self, slice: usize, method: usize) -> &Arc<str> {
-        &self.clusters[slice * self.service.methods.len() + method]
+    /// The shared name of a cluster.
+    pub fn cluster_name(&self, slice: usize, method: usize) -> &Arc<str> {
+        &self.cluster_names[slice * self.service.methods.len() + method]
     }
 
-    /// Tells every stream at once of names that have come or gone with custody.
-    pub fn announce(&self, names: &[Arc<str>]) {
+    /// Notifies every stream at once of clusters that were added or removed with the custody of their slices.
+    pub fn notify_all(&self, names: &[Arc<str>]) {
         let streams: Vec<Arc<Stream>> = self.streams().values().cloned().collect();
         for stream in streams {
             {
@@ -476,19 +506,20 @@
         }
     }
 
-    /// Whether a proxy has acknowledged all that there is for it.
-    pub fn settled(&self, proxy: &str) -> bool {
+    /// Whether a proxy has acknowledged everything that the cache has for it.
+    pub fn has_acked_all(&self, proxy: &str) -> bool {
         let Some(stream) = self.streams().get(proxy).cloned() else { return false };
         let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
         let holds = stream.state().holds_all(&cache);
         holds
     }
 
+    /// The number of proxies that have a table stream.
     pub fn connected(&self) -> usize {
         self.streams().len()
     }
 
-    /// Ends all streams in order.
+    /// Closes all streams in order.
     pub fn close(&self) {
         self.stop.store(true, Ordering::Relaxed);
         let streams: Vec<Arc<Stream>> = self.streams().values().cloned().collect();
@@ -496,30 +527,31 @@
     }
 }
 
-fn report_every(every: Duration) -> proto::LoadStatsResponse {
+/// The response that sets a proxy's report interval.
+fn report_interval_response(interval: Duration) -> proto::LoadStatsResponse {
     proto::LoadStatsResponse {
         clusters: Vec::new(),
-        load_reporting_interval: Some(proto::span(every)),
+        load_reporting_interval: Some(proto::span(interval)),
         report_endpoint_granularity: true,
         send_all_clusters: true,
     }
 }
 
-/// A stream of reports that stands. Its end is told however it ends.
-struct Reporting<'a> {
+/// An open load report stream. Dropping it reports the end of the stream, however it ends.
+struct OpenReportStream<'a> {
     hub: &'a Hub,
     proxy: &'a str,
 }
 
-impl<'a> Reporting<'a> {
+impl<'a> OpenReportStream<'a> {
     fn begin(hub: &'a Hub, proxy: &'a str, zone: &str) -> Self {
-        hub.tell(Input::Reporting { proxy: proxy.to_string(), zone: zone.to_string() });
-        Reporting { hub, proxy }
+        hub.send_input(Input::ReportStreamOpened { proxy: proxy.to_string(), zone: zone.to_string() });
+        OpenReportStream { hub, proxy }
     }
 }
 
-impl Drop for Reporting<'_> {
+impl Drop for OpenReportStream<'_> {
     fn drop(&mut self) {
-        self.hub.tell(Input::NoLongerReporting { proxy: self.proxy.to_string() });
+        self.hub.send_input(Input::ReportStreamClosed { proxy: self.proxy.to_string() });
     }
 }
--- a/crates/whinhill-assigner/src/last_list.rs
+++ b/crates/whinhill-assigner/src/last_list.rs
@@ -1,5 +1,5 @@
-//! Keeps the newest list of servers in a file, for the next start. A thread of its own: a disk that stalls must not
-//! delay what the list says, since drains run from the time it was told.
+//! Stores the newest list of servers in a file, for the next start. This has its own thread: a stalled disk must not
+//! delay the list, since the grace period of a drain starts when the list is published.
 
 use std::fs;
 use std::io::{self, Write};
@@ -11,81 +11,82 @@
 
 use crate::roster::{read_roster, RosterFile};
 
-/// How often the thread looks whether the mailbox is gone.
-const LOOK: Duration = Duration::from_secs(1);
-/// Between two attempts while the disk refuses.
-const AGAIN: Duration = Duration::from_millis(500);
+/// How often the thread checks whether the mailbox was dropped.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay between two attempts while the disk refuses.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The way to the thread: holds one list, the newest.
+/// The queue to the thread. It holds one list, the newest.
 pub struct Mailbox {
     lists: Sender<RosterFile>,
-    waiting: Receiver<RosterFile>,
+    queued: Receiver<RosterFile>,
 }
 
 impl Mailbox {
-    /// Never waits: a list that the thread has not taken yet gives way.
+    /// Queues a list without waiting: it replaces a list that the thread has not taken yet.
     pub fn put(&self, list: RosterFile) {
-        let _replaced = self.waiting.try_recv();
-        // We alone put lists in, so there is room now.
+        let _replaced = self.queued.try_recv();
+        // There is only this sender, so the queue is empty now.
         let _ = self.lists.try_send(list);
     }
 }
 
-/// The file, and the lists that are to be kept in it.
+/// The file, and the lists to write to it.
 pub struct LastList {
     path: PathBuf,
     lists: Receiver<RosterFile>,
 }
 
 impl LastList {
+    /// The mailbox and the file in a state directory.
     pub fn new(dir: &Path) -> (Mailbox, LastList) {
-        let (lists, waiting) = bounded(1);
-        let keeper = LastList { path: dir.join("last-list.json"), lists: waiting.clone() };
-        (Mailbox { lists, waiting }, keeper)
+        let (lists, queued) = bounded(1);
+        let last_list = LastList { path: dir.join("last-list.json"), lists: queued.clone() };
+        (Mailbox { lists, queued }, last_list)
     }
 
-    /// The list that a former life kept, empty if there is none.
+    /// The list that a former incarnation stored, empty if there is none.
     pub fn read(&self) -> RosterFile {
         let text = fs::read_to_string(&self.path).ok();
         text.and_then(|text| read_roster(&text).ok()).unwrap_or_default()
     }
 
-    /// Keeps lists until the mailbox is gone. One that the disk refuses is tried again until it is kept or a newer
-    /// one comes.
+    /// Writes lists until the mailbox is dropped. A list that the disk refuses is retried until it is written or a
+    /// newer one arrives.
     pub fn run(self) {
-        let (mut refused, mut well) = (None, true);
+        let (mut unwritten, mut healthy) = (None, true);
         loop {
-            let wait = if refused.is_some() { AGAIN } else { LOOK };
+            let wait = if unwritten.is_some() { RETRY_DELAY } else { POLL_INTERVAL };
             let list = match self.lists.recv_timeout(wait) {
                 Ok(list) => list,
-                Err(RecvTimeoutError::Timeout) => match refused.take() {
+                Err(RecvTimeoutError::Timeout) => match unwritten.take() {
                     Some(list) => list,
                     None => continue,
                 },
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let kept = keep(&self.path, &list);
-            match &kept {
-                Ok(()) if !well => info!("the last list is kept again"),
-                Err(error) if well => {
-                    warn!(path = %self.path.display(), %error, "the last list could not be kept, and is tried again");
+            let result = write_durably(&self.path, &list);
+            match &result {
+                Ok(()) if !healthy => info!("the last list is written again"),
+                Err(error) if healthy => {
+                    warn!(path = %self.path.display(), %error, "the last list can't be written, and is retried");
                 }
                 _ => {}
             }
-            well = kept.is_ok();
-            refused = (!well).then_some(list);
+            healthy = result.is_ok();
+            unwritten = (!healthy).then_some(list);
         }
     }
 }
 
-/// Writes the list beside the old one and then over it: a crash leaves the one or the other. Whatever fails, all of
-/// it is done again: what a failed sync had taken may be gone.
-fn keep(path: &Path, roster: &RosterFile) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = fs::File::create(&beside)?;
+/// Writes the list to a temporary file, syncs it and renames it over the old one: after a crash one of the two is
+/// there. After any failure all steps must be repeated, since data from before a failed sync may be lost.
+fn write_durably(path: &Path, roster: &RosterFile) -> io::Result<()> {
+    let temporary = path.with_extension("new");
+    let mut file = fs::File::create(&temporary)?;
     file.write_all(serde_json::to_string(roster)?.as_bytes())?;
     file.sync_all()?;
-    fs::rename(beside, path)?;
+    fs::rename(temporary, path)?;
     match path.parent() {
         Some(folder) => fs::File::open(folder)?.sync_all(),
         None => Ok(()),
--- a/crates/whinhill-assigner/src/lib.rs
+++ b/crates/whinhill-assigner/src/lib.rs
@@ -1,50 +1,50 @@
 //! The running assigner.
 //!
-//! Feeds (roster, load reports, probes, streams, custody) put what happened into one bounded channel. The
-//! decision thread drains it into a batch, has [`Core`] decide, and hands on what is to be done: tables into the
-//! cache, changes to the paced [`Channel`], grants to the store, probes to their threads. [`Core`], the channel and
-//! the intake of reports have no I/O and no clock; threads and sockets stand around them and hold no rule.
+//! The sources of inputs (server list, load reports, probes, streams, custody) put them into one bounded queue. The
+//! decision thread drains it into a batch, lets [`Core`] decide, and carries out the effects: tables go to the cache,
+//! changes to the rate-limited [`Channel`], grants to the store, probes to their threads. [`Core`], the channel and
+//! the intake of reports have no I/O and no clock; the threads and sockets around them contain no rules.
 
-mod answers;
-mod ask;
+mod acked_versions;
 mod assigner;
-mod book;
+mod atomic_file;
 mod channel;
-mod chronicle;
 mod config;
 mod core;
+mod custody_thread;
+mod full_set_pacer;
 mod history_file;
-mod holdings;
+mod history_recorder;
+mod history_writer;
 mod hub;
-mod joins;
 mod last_list;
-mod names;
-mod operator;
+mod name_index;
+mod operator_api;
+mod operator_client;
+mod operator_handler;
 mod probes;
 mod reports;
 mod retry;
 mod roster;
 mod status;
 mod status_file;
-mod stewards;
-mod wall;
-mod whole_file;
+mod wall_clock;
 
 pub use crate::core::{Core, Effects, Input};
-pub use ask::{
-    Answer, Ask, PlanLine, ProxyLine, ReportsAnswer, ReportsLine, RollbackLine, SliceLine, Target,
-    VersionLine, ASK_PATH,
-};
 pub use assigner::{Assigner, StartError};
-pub use channel::{Channel, Parcel};
-pub use chronicle::{Batch, Chronicle, Numbered, RollbackError};
+pub use channel::{Channel, ProxyMessage};
 pub use config::{
     AssignerConfig, ChannelConfig, CustodySettings, Fault, HistoryConfig, MethodConfig, MethodEffect,
     RosterConfig, RulesConfig, Sabotage, ServiceConfig, StoreConfig,
 };
 pub use history_file::{HistoryFile, Kept};
-pub use names::Names;
-pub use operator::{ask, AskError};
+pub use history_recorder::{Batch, Chronicle, NumberedUpdate, RollbackError};
+pub use name_index::Names;
+pub use operator_api::{
+    Answer, Ask, PlanLine, ProxyLine, ReportsAnswer, ReportsLine, RollbackLine, SliceLine, Target,
+    VersionLine, ASK_PATH,
+};
+pub use operator_client::{ask, AskError};
 pub use reports::{event, read_report};
 pub use retry::Retry;
 pub use roster::{read_roster, RosterEntry, RosterFile, RosterState};
--- a/crates/whinhill-assigner/src/ask.rs
+++ b/crates/whinhill-assigner/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators may ask of a running assigner, and what it answers. JSON both ways.
+//! Operators' requests to a running assigner and its answers, both in JSON.
 
 use std::collections::BTreeSet;
 
@@ -10,51 +10,52 @@
 /// The path of the one method, on the listener for operators.
 pub const ASK_PATH: &str = "/whinhill.admin.v1.Tables/Ask";
 
-/// A version as it is named.
+/// How an operator names a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
+    /// By its number.
     Version(u64),
-    /// The newest that stood at a time by the wall.
+    /// The version that was current at a wall-clock time, in milliseconds since 1970.
     UnixMs(u64),
     /// The newest one marked good, before the current one.
     LastGood,
+    /// The current one.
     Current,
 }
 
+/// An operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ask {
     /// The newest versions, newest first.
-    History {
-        most: usize,
-    },
-    Show {
-        version: Target,
-        slices: Option<BTreeSet<SliceId>>,
-    },
-    Diff {
-        from: Target,
-        to: Target,
-    },
-    PinGood {
-        version: Target,
-    },
+    History { most: usize },
+    /// The tables of a version; of all slices, or of those listed.
+    Show { version: Target, slices: Option<BTreeSet<SliceId>> },
+    /// The slices whose tables differ between two versions.
+    Diff { from: Target, to: Target },
+    /// Marks a version as good.
+    PinGood { version: Target },
+    /// Moves slices back to their owners of a version, or shows what that would do.
     Rollback {
         to: Target,
         slices: Option<BTreeSet<SliceId>>,
+        /// Who requests it.
         by: String,
         dry_run: bool,
+        /// How long the rollback may keep requesting moves.
         within_ms: u64,
     },
+    /// All remembered rollbacks.
     Rollbacks,
-    /// Who holds what.
+    /// The version that each proxy has acknowledged.
     Proxies,
-    /// What is known of load, and by whom.
+    /// The state of load reporting.
     Reports,
 }
 
-/// The intake of load reports. Counts are of tries since the start, but for reports, lines and strange ones.
+/// The state of load reporting. Counts are of tries since the start, except `reports`, `strange` and the counts of
+/// lines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportsAnswer {
     pub reports: u64,
@@ -68,36 +69,41 @@
     pub strange: u64,
     pub mended: u64,
     pub thinned: u64,
-    /// Whether all that was offered is in one of these places.
+    /// Whether all tries offered are in exactly one of these counts.
     pub conserved: bool,
-    /// At the last turn: lines with something to give, given, and waiting since they are known too badly.
+    /// Lines with something to pass on, at the last batch.
     pub lines_ready: usize,
+    /// Lines passed on to the module, at the last batch.
     pub lines_given: usize,
+    /// Lines held back because their figures are too uncertain, at the last batch.
     pub lines_unsure: usize,
-    /// The greatest standard error of a line given, as a share of its tries.
+    /// The greatest standard error of a line passed on, as a share of its tries.
     pub error_most: f64,
-    /// The part of the expected load that was heard.
+    /// The part of the expected load that was reported.
     pub heard: f64,
+    /// Too little load is reported to decide anything on it.
     pub blind: bool,
     pub lag_ms_middle: u64,
     pub lag_ms_most: u64,
-    /// The worst first.
+    /// All proxies, the worst first.
     pub proxies: Vec<ReportsLine>,
 }
 
+/// The load reporting of one proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportsLine {
     pub proxy: String,
-    /// heard, quiet, silent or cut.
+    /// The state of its reports: heard, quiet, silent or cut.
     pub hearing: String,
     pub late_ms: u64,
     pub tries_per_s: f64,
 }
 
+/// One version of the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionLine {
     pub number: u64,
-    /// In hexadecimal: the same at every holder of the same set.
+    /// In hexadecimal; equal sets have equal hashes everywhere.
     pub hash: String,
     pub unix_ms: u64,
     pub author: Author,
@@ -106,6 +112,7 @@
     pub slices: usize,
 }
 
+/// A slice whose table differs between two versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceLine {
     pub slice: SliceId,
@@ -113,15 +120,17 @@
     pub now: Option<SliceTable>,
 }
 
+/// What a rollback does with one slice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlanLine {
     pub slice: SliceId,
-    /// stands, moves, waits or refused.
+    /// One of: stands, moves, waits, refused.
     pub verdict: String,
     pub to: Option<String>,
     pub why: Option<String>,
 }
 
+/// The progress of one rollback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RollbackLine {
     pub id: u64,
@@ -129,20 +138,22 @@
     pub by: String,
     pub progress: Progress,
     pub finished: bool,
-    /// Slices that were abandoned, and why; the first few.
+    /// The first few abandoned slices, with the reason.
     pub abandoned: Vec<(SliceId, String)>,
 }
 
+/// The version that one proxy has acknowledged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxyLine {
     pub proxy: String,
-    /// The newest version of which it has acknowledged everything.
+    /// The newest version that it has acknowledged completely.
     pub acked: Option<u64>,
-    /// Versions and time that it is behind.
+    /// How many versions and milliseconds it is behind.
     pub behind: u64,
     pub behind_ms: u64,
 }
 
+/// The answer to an operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
@@ -176,6 +187,6 @@
         proxies: Vec<ProxyLine>,
     },
     Reports(Box<ReportsAnswer>),
-    /// It can't be; in one line.
+    /// The request was refused, with the reason in one line.
     Refused(String),
 }
--- a/crates/whinhill-assigner/src/probes.rs
+++ b/crates/whinhill-assigner/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes by `grpc.health.v1`, with the server's own figures (ORCA) where it tells them.
+//! Probes servers by `grpc.health.v1`, and reads the load that a server reports with its answer (ORCA).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,55 +19,59 @@
 use crate::probes::queue::{ProbeQueue, Pushed};
 use crate::reports::read_load;
 
-const WITHIN: Duration = Duration::from_millis(800);
-/// Probes under way at a time, each on its thread.
-const MOST: usize = 32;
-/// Servers that wait for a probe at a time: as many as the inputs' channel holds results.
-const WAITING_MOST: usize = 8192;
-/// After this long without a server to probe, a thread ends.
-const IDLE: Duration = Duration::from_secs(5);
+/// The timeout of connecting and of the call.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Probes that may be in flight, each on its own thread.
+const MAX_THREADS: usize = 32;
+/// Servers that may be queued for a probe: as many as the input queue holds results.
+const MAX_QUEUED: usize = 8192;
+/// A thread ends after this long without a server to probe.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The status `SERVING` of `grpc.health.v1`.
 const SERVING: i32 = 1;
 
-/// Probes servers on threads of its own; no call waits for a server. The threads end with it.
-pub struct Prober(Arc<Asker>);
+/// Probes servers on threads of its own; no method waits for a server. The threads end when this is dropped.
+pub struct Prober(Arc<Shared>);
 
 impl Prober {
+    /// A prober that sends its results to `inputs`.
     pub fn new(drivers: Drivers, inputs: Sender<(Input, Option<Sender<()>>)>) -> Self {
-        Prober(Arc::new(Asker {
-            rounds: Mutex::new(Rounds {
-                queue: ProbeQueue::new(WAITING_MOST),
+        Prober(Arc::new(Shared {
+            pool: Mutex::new(Pool {
+                queue: ProbeQueue::new(MAX_QUEUED),
                 threads: 0,
                 idle: 0,
-                over: false,
+                stopping: false,
             }),
-            pushed: Condvar::new(),
+            queue_changed: Condvar::new(),
             drivers,
             clients: Mutex::default(),
             inputs,
         }))
     }
 
-    /// Probes a server now, or as soon as another probe has ended.
+    /// Probes a server now, or as soon as a thread is free.
     pub fn probe(&self, server: ServerName) {
-        let mut rounds = self.0.rounds();
-        if rounds.queue.push(server.clone()) == Pushed::Full {
-            return warn!(%server, "a server is not probed: {WAITING_MOST} wait already");
+        let mut pool = self.0.pool();
+        if pool.queue.push(server.clone()) == Pushed::Full {
+            return warn!(%server, "a server is not probed: {MAX_QUEUED} are queued already");
         }
-        if rounds.queue.waiting() <= rounds.idle {
-            self.0.pushed.notify_one();
-        } else if rounds.threads < MOST {
-            rounds.threads += 1;
-            drop(rounds);
+        if pool.queue.queued() <= pool.idle {
+            self.0.queue_changed.notify_one();
+        } else if pool.threads < MAX_THREADS {
+            pool.threads += 1;
+            drop(pool);
             self.start_thread();
         }
     }
 
+    /// Starts one more probe thread.
     fn start_thread(&self) {
-        let asker = self.0.clone();
+        let shared = self.0.clone();
         let thread = thread::Builder::new().name("probe".to_string()).stack_size(CALL_STACK);
-        if let Err(error) = thread.spawn(move || asker.run()) {
-            // What waits is left to the other threads, or to the one that the next order starts.
-            self.0.rounds().threads -= 1;
+        if let Err(error) = thread.spawn(move || shared.run()) {
+            // Queued servers are left to the other threads, or to the thread that the next request starts.
+            self.0.pool().threads -= 1;
             warn!(%error, "no thread for a probe");
         }
     }
@@ -75,69 +79,71 @@
 
 impl Drop for Prober {
     fn drop(&mut self) {
-        self.0.rounds().over = true;
-        self.0.pushed.notify_all();
+        self.0.pool().stopping = true;
+        self.0.queue_changed.notify_all();
     }
 }
 
-/// What waits, and the threads that take it.
-struct Rounds {
+/// The queue and the threads that serve it.
+struct Pool {
     queue: ProbeQueue,
     threads: usize,
-    /// Threads that wait for a server.
+    /// Threads that wait for a server to probe.
     idle: usize,
-    over: bool,
+    stopping: bool,
 }
 
-/// What the threads share.
-struct Asker {
-    rounds: Mutex<Rounds>,
-    pushed: Condvar,
+/// State that the threads share.
+struct Shared {
+    pool: Mutex<Pool>,
+    queue_changed: Condvar,
     drivers: Drivers,
     clients: Mutex<HashMap<ServerName, Client>>,
     inputs: Sender<(Input, Option<Sender<()>>)>,
 }
 
-impl Asker {
+impl Shared {
+    /// Probes servers until the thread is to end.
     fn run(&self) {
         while let Some(server) = self.next() {
-            let asked = self.ask(&server);
-            // Before the result is told: the order to ask again that may follow it is a new one.
-            self.rounds().queue.ended(&server);
-            match asked {
-                Some((result, load)) => self.tell(server, result, load),
+            let outcome = self.probe(&server);
+            // Before the result is sent: a request to probe again that follows the result must not be taken for part of
+            // this probe.
+            self.pool().queue.finished(&server);
+            match outcome {
+                Some((result, load)) => self.send_result(server, result, load),
                 None => debug!(%server, "a server was not asked: the fault is this machine's"),
             }
         }
     }
 
-    /// The server that this thread is to ask; `None` once the thread is to end.
+    /// The next server to probe; `None` once the thread is to end.
     fn next(&self) -> Option<ServerName> {
-        let mut rounds = self.rounds();
-        rounds.idle += 1;
-        let nothing_to_do = |rounds: &mut Rounds| !rounds.over && rounds.queue.waiting() == 0;
-        let waited = self.pushed.wait_timeout_while(rounds, IDLE, nothing_to_do);
-        rounds = waited.unwrap_or_else(PoisonError::into_inner).0;
-        rounds.idle -= 1;
-        let next = if rounds.over { None } else { rounds.queue.next() };
-        rounds.threads -= usize::from(next.is_none());
+        let mut pool = self.pool();
+        pool.idle += 1;
+        let is_idle = |pool: &mut Pool| !pool.stopping && pool.queue.queued() == 0;
+        let waited = self.queue_changed.wait_timeout_while(pool, IDLE_TIMEOUT, is_idle);
+        pool = waited.unwrap_or_else(PoisonError::into_inner).0;
+        pool.idle -= 1;
+        let next = if pool.stopping { None } else { pool.queue.next() };
+        pool.threads -= usize::from(next.is_none());
         next
     }
 
-    /// Tells a result, once the inputs have room for it: a probe thread may wait.
-    fn tell(&self, server: ServerName, result: Probe, load: LoadReport) {
+    /// Sends a result, waiting while the input queue is full: a probe thread may block.
+    fn send_result(&self, server: ServerName, result: Probe, load: LoadReport) {
         debug!(%server, ?result, "a server was asked");
-        if self.inputs.send((Input::Probed { server, result, load }, None)).is_err() {
-            debug!("a result is not told: the decision thread has ended");
+        if self.inputs.send((Input::ProbeCompleted { server, result, load }, None)).is_err() {
+            debug!("a probe result is dropped: the decision thread has ended");
         }
     }
 
-    fn rounds(&self) -> MutexGuard<'_, Rounds> {
-        self.rounds.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pool(&self) -> MutexGuard<'_, Pool> {
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `None` where the server was not asked: that tells nothing of it.
-    fn ask(&self, server: &ServerName) -> Option<(Probe, LoadReport)> {
+    /// The outcome of a probe; `None` if the server was not asked, which says nothing about the server.
+    fn probe(&self, server: &ServerName) -> Option<(Probe, LoadReport)> {
         Some(match self.check(server) {
             Err(CallError::NeverRan(NeverRan::NotTried)) => return None,
             Ok((HealthCheckResponse { status: SERVING }, load)) => (Probe::Ok, load),
@@ -153,30 +159,33 @@
         })
     }
 
+    /// Sends the health check, over the open connection if there is one.
     fn check(&self, server: &ServerName) -> Result<(HealthCheckResponse, LoadReport), CallError> {
-        if let Some(client) = self.held(server) {
-            match check_by(&client) {
-                // Ended in good order before, by the server's limits for instance: it was not asked.
+        if let Some(client) = self.open_client(server) {
+            match check_over(&client) {
+                // The connection had been closed in order, for instance by the server's limits: the server was not
+                // asked, so it is asked over a new connection.
                 Err(CallError::NeverRan(NeverRan::NeverWritten | NeverRan::AboveGoAway)) => {}
                 result => return result,
             }
         }
-        check_by(&self.connect(server)?)
+        check_over(&self.connect(server)?)
     }
 
     fn clients(&self) -> MutexGuard<'_, HashMap<ServerName, Client>> {
         self.clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection to the server that stands, as far as is known.
-    fn held(&self, server: &ServerName) -> Option<Client> {
+    /// A connection to the server that is open, as far as is known.
+    fn open_client(&self, server: &ServerName) -> Option<Client> {
         self.clients().get(server).filter(|client| client.alive()).cloned()
     }
 
+    /// Opens a connection to the server, and drops closed ones.
     fn connect(&self, server: &ServerName) -> Result<Client, CallError> {
         let addr: SocketAddr =
             server.parse().map_err(|_| CallError::Malformed("a server's name is its address"))?;
-        let limits = Limits { handshake: WITHIN, idle: Duration::from_secs(10), ..Limits::default() };
+        let limits = Limits { handshake: PROBE_TIMEOUT, idle: Duration::from_secs(10), ..Limits::default() };
         let client = Client::connect(addr, limits, &self.drivers)?;
         let mut clients = self.clients();
         clients.retain(|_, client| client.alive());
@@ -185,18 +194,18 @@
     }
 }
 
-/// Asks by a connection that stands.
-fn check_by(client: &Client) -> Result<(HealthCheckResponse, LoadReport), CallError> {
+/// Sends the health check over a connection.
+fn check_over(client: &Client) -> Result<(HealthCheckResponse, LoadReport), CallError> {
     let request = HealthCheckRequest::default().encode_to_vec();
-    let (answer, trailers) = client.unary(HEALTH_PATH, &[], request.into(), WITHIN)?;
+    let (answer, trailers) = client.unary(HEALTH_PATH, &[], request.into(), PROBE_TIMEOUT)?;
     let answer = HealthCheckResponse::decode(answer).map_err(|_| CallError::Malformed("a health answer"))?;
-    let told = trailers.get(ORCA_TRAILER).and_then(|value| value.to_str().ok()).and_then(unbase64);
-    let told = told.and_then(|bytes| OrcaLoadReport::decode(&bytes[..]).ok()).unwrap_or_default();
+    let orca = trailers.get(ORCA_TRAILER).and_then(|value| value.to_str().ok()).and_then(unbase64);
+    let orca = orca.and_then(|bytes| OrcaLoadReport::decode(&bytes[..]).ok()).unwrap_or_default();
     let mut load = LoadReport::default();
-    if told.cpu_utilization > 0.0 {
-        load.cpu = Some(told.cpu_utilization);
+    if orca.cpu_utilization > 0.0 {
+        load.cpu = Some(orca.cpu_utilization);
     }
-    told.named_metrics.iter().for_each(|(name, value)| read_load(&mut load, name, *value));
+    orca.named_metrics.iter().for_each(|(name, value)| read_load(&mut load, name, *value));
     Ok((answer, load))
 }
 
--- a/crates/whinhill-assigner/src/probes/queue.rs
+++ b/crates/whinhill-assigner/src/probes/queue.rs
@@ -1,61 +1,61 @@
-//! Servers that wait for a probe, bounded in number. No I/O.
+//! The bounded queue of servers to probe. No I/O.
 
 use std::collections::{HashSet, VecDeque};
 
 use whinhill_tables::ServerName;
 
-/// What became of an order to probe a server.
+/// The result of queueing a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pushed {
-    /// The server waits now.
-    Waits,
-    /// It waits already or is being asked: that probe answers this order too.
+    /// The server was queued.
+    Queued,
+    /// It is queued already or being probed: that probe serves this request too.
     Pending,
-    /// Too many servers wait.
+    /// Too many servers are queued.
     Full,
 }
 
-/// Servers to be probed. Each waits at most once, and does not wait while it is being asked.
+/// Servers to probe. Each is queued at most once, and not while it is being probed.
 #[derive(Debug)]
 pub struct ProbeQueue {
-    most: usize,
-    waiting: VecDeque<ServerName>,
-    /// Servers that wait or are being asked.
+    max_queued: usize,
+    queued: VecDeque<ServerName>,
+    /// Servers that are queued or being probed.
     pending: HashSet<ServerName>,
 }
 
 impl ProbeQueue {
-    /// An empty queue in which so many servers may wait.
-    pub fn new(most: usize) -> Self {
-        ProbeQueue { most, waiting: VecDeque::new(), pending: HashSet::new() }
+    /// An empty queue for at most this many servers.
+    pub fn new(max_queued: usize) -> Self {
+        ProbeQueue { max_queued, queued: VecDeque::new(), pending: HashSet::new() }
     }
 
-    /// A server is to be probed.
+    /// Queues a server.
     pub fn push(&mut self, server: ServerName) -> Pushed {
         if self.pending.contains(&server) {
             return Pushed::Pending;
         }
-        if self.waiting.len() >= self.most {
+        if self.queued.len() >= self.max_queued {
             return Pushed::Full;
         }
         self.pending.insert(server.clone());
-        self.waiting.push_back(server);
-        Pushed::Waits
+        self.queued.push_back(server);
+        Pushed::Queued
     }
 
-    /// The server that has waited longest; it is being asked from now on.
+    /// Takes the server that was queued first; it counts as being probed from now on.
     pub fn next(&mut self) -> Option<ServerName> {
-        self.waiting.pop_front()
+        self.queued.pop_front()
     }
 
-    /// A server's probe has ended, so that it may be probed again.
-    pub fn ended(&mut self, server: &ServerName) {
+    /// Notes that a server's probe has ended, so that it may be queued again.
+    pub fn finished(&mut self, server: &ServerName) {
         self.pending.remove(server);
     }
 
-    /// Servers that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// The number of queued servers.
+    pub fn queued(&self) -> usize {
+        self.queued.len()
     }
 }
 
--- a/crates/whinhill-assigner/src/probes/queue/tests.rs
+++ b/crates/whinhill-assigner/src/probes/queue/tests.rs
@@ -1,4 +1,4 @@
-//! Each test plays one server's or one round's probes.
+//! The order and bounds of the probe queue.
 
 use super::*;
 
@@ -7,32 +7,32 @@
 }
 
 #[test]
-fn servers_are_probed_in_the_order_in_which_they_came() {
+fn servers_are_probed_in_the_order_of_their_requests() {
     let mut queue = ProbeQueue::new(5);
-    assert!((0..5).all(|index| queue.push(server(index)) == Pushed::Waits));
+    assert!((0..5).all(|index| queue.push(server(index)) == Pushed::Queued));
     let probed: Vec<ServerName> = std::iter::from_fn(|| queue.next()).collect();
     assert_eq!(probed, (0..5).map(server).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_server_that_waits_or_is_being_asked_does_not_wait_once_more() {
+fn server_that_is_queued_or_being_probed_is_not_queued_again() {
     let mut queue = ProbeQueue::new(5);
-    assert_eq!(queue.push(server(0)), Pushed::Waits);
+    assert_eq!(queue.push(server(0)), Pushed::Queued);
     assert_eq!(queue.push(server(0)), Pushed::Pending);
     assert_eq!(queue.next(), Some(server(0)));
     assert_eq!(queue.push(server(0)), Pushed::Pending);
     assert_eq!(queue.next(), None);
-    queue.ended(&server(0));
-    assert_eq!(queue.push(server(0)), Pushed::Waits);
+    queue.finished(&server(0));
+    assert_eq!(queue.push(server(0)), Pushed::Queued);
     assert_eq!(queue.next(), Some(server(0)));
 }
 
 #[test]
-fn a_full_queue_takes_no_server_until_one_has_left_it() {
+fn full_queue_accepts_no_server_until_one_has_left() {
     let mut queue = ProbeQueue::new(2);
-    assert!((0..2).all(|index| queue.push(server(index)) == Pushed::Waits));
+    assert!((0..2).all(|index| queue.push(server(index)) == Pushed::Queued));
     assert_eq!(queue.push(server(2)), Pushed::Full);
-    assert_eq!(queue.waiting(), 2);
+    assert_eq!(queue.queued(), 2);
     assert_eq!(queue.next(), Some(server(0)));
-    assert_eq!(queue.push(server(2)), Pushed::Waits);
+    assert_eq!(queue.push(server(2)), Pushed::Queued);
 }
--- a/crates/whinhill-assigner/src/probes/tests.rs
+++ b/crates/whinhill-assigner/src/probes/tests.rs
@@ -8,13 +8,13 @@
 
 use super::*;
 
-const TEST_WITHIN: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn answer_health(mut call: ServerCall) {
     thread::spawn(move || {
-        let _request = call.message(TEST_WITHIN);
+        let _request = call.message(TEST_TIMEOUT);
         let serving = HealthCheckResponse { status: SERVING }.encode_to_vec();
-        let _ = call.answer(&serving, Trailers::new(), TEST_WITHIN);
+        let _ = call.answer(&serving, Trailers::new(), TEST_TIMEOUT);
     });
 }
 
@@ -25,71 +25,71 @@
     (listener, server)
 }
 
-/// What a probe tells of a server.
-fn probe(prober: &Prober, server: &ServerName, told: &Receiver<(Input, Option<Sender<()>>)>) -> Probe {
+/// Probes a server and returns the outcome.
+fn probe(prober: &Prober, server: &ServerName, results: &Receiver<(Input, Option<Sender<()>>)>) -> Probe {
     prober.probe(server.clone());
-    match told.recv_timeout(TEST_WITHIN) {
-        Ok((Input::Probed { result, .. }, None)) => result,
-        other => panic!("no probe was told: {other:?}"),
+    match results.recv_timeout(TEST_TIMEOUT) {
+        Ok((Input::ProbeCompleted { result, .. }, None)) => result,
+        other => panic!("no probe result arrived: {other:?}"),
     }
 }
 
 #[test]
-fn a_server_that_refuses_a_probe_unseen_is_not_silent() {
+fn server_that_refuses_the_stream_counts_as_pushed_back() {
     let drivers = Drivers::start("probes", 1).unwrap();
     let (_listener, server) = listen(Limits::default(), &drivers, ServerCall::refuse_unseen);
-    let (inputs, told) = bounded(16);
+    let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    assert_eq!(probe(&prober, &server, &told), Probe::PushedBack);
+    assert_eq!(probe(&prober, &server, &results), Probe::PushedBack);
 }
 
 #[test]
-fn a_server_whose_answer_cannot_be_read_is_not_silent() {
+fn server_with_an_unreadable_answer_counts_as_aborted() {
     let drivers = Drivers::start("probes", 1).unwrap();
     let (_listener, server) = listen(Limits::default(), &drivers, |mut call| {
         thread::spawn(move || {
-            let _request = call.message(TEST_WITHIN);
-            let _ = call.answer(b"\xff", Trailers::new(), TEST_WITHIN);
+            let _request = call.message(TEST_TIMEOUT);
+            let _ = call.answer(b"\xff", Trailers::new(), TEST_TIMEOUT);
         });
     });
-    let (inputs, told) = bounded(16);
+    let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    assert_eq!(probe(&prober, &server, &told), Probe::Aborted);
+    assert_eq!(probe(&prober, &server, &results), Probe::Aborted);
 }
 
 #[test]
-fn a_connection_that_the_server_ended_in_good_order_is_no_silence() {
+fn idle_connection_closed_by_the_server_does_not_fail_a_probe() {
     let drivers = Drivers::start("probes", 1).unwrap();
     let idle = Duration::from_millis(100);
     let (listener, server) = listen(Limits { idle, ..Limits::default() }, &drivers, answer_health);
-    let (inputs, told) = bounded(16);
+    let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    for turn in 0..5 {
-        assert_eq!(probe(&prober, &server, &told), Probe::Ok, "turn {turn}");
-        let until = Instant::now() + TEST_WITHIN;
+    for attempt in 0..5 {
+        assert_eq!(probe(&prober, &server, &results), Probe::Ok, "attempt {attempt}");
+        let until = Instant::now() + TEST_TIMEOUT;
         while listener.connections() > 0 {
             assert!(Instant::now() < until, "the server keeps an idle connection");
             thread::sleep(Duration::from_millis(10));
         }
-        // The end arrives at our side.
+        // The prober's side of the connection sees its end.
         thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// A round of probes comes at once.
+/// All probes of a round are requested at the same time.
 #[test]
-fn no_server_of_a_round_is_left_out() {
+fn every_server_of_a_round_is_probed() {
     const SERVERS: usize = 60;
     let drivers = Drivers::start("probes", 1).unwrap();
     let servers: Vec<(Listener, ServerName)> =
         (0..SERVERS).map(|_| listen(Limits::default(), &drivers, answer_health)).collect();
-    let (inputs, told) = bounded(10 * SERVERS);
+    let (inputs, results) = bounded(10 * SERVERS);
     let prober = Prober::new(drivers, inputs);
     let mut counts: HashMap<ServerName, usize> = HashMap::new();
     for _round in 0..5 {
         servers.iter().for_each(|(_, server)| prober.probe(server.clone()));
         thread::sleep(Duration::from_millis(1000));
-        while let Ok((Input::Probed { server, .. }, None)) = told.try_recv() {
+        while let Ok((Input::ProbeCompleted { server, .. }, None)) = results.try_recv() {
             *counts.entry(server).or_default() += 1;
         }
     }
@@ -99,27 +99,28 @@
 }
 
 #[test]
-fn a_repeat_ordered_on_a_result_is_not_lost() {
+fn probe_requested_on_a_result_is_not_lost() {
     let drivers = Drivers::start("probes", 1).unwrap();
     let (_listener, server) = listen(Limits::default(), &drivers, answer_health);
-    let (inputs, told) = bounded(16);
+    let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    (0..300).for_each(|turn| assert_eq!(probe(&prober, &server, &told), Probe::Ok, "turn {turn}"));
+    (0..300)
+        .for_each(|attempt| assert_eq!(probe(&prober, &server, &results), Probe::Ok, "attempt {attempt}"));
 }
 
 #[test]
-fn no_result_is_dropped_while_the_inputs_have_no_room() {
-    const SERVERS: usize = MOST + 8;
+fn no_result_is_dropped_while_the_input_queue_is_full() {
+    const SERVERS: usize = MAX_THREADS + 8;
     let drivers = Drivers::start("probes", 1).unwrap();
     let servers: Vec<(Listener, ServerName)> =
         (0..SERVERS).map(|_| listen(Limits::default(), &drivers, answer_health)).collect();
-    let (inputs, told) = bounded(1);
+    let (inputs, results) = bounded(1);
     let prober = Prober::new(drivers, inputs);
     servers.iter().for_each(|(_, server)| prober.probe(server.clone()));
-    // The results come while nobody takes them.
-    thread::sleep(2 * WITHIN);
+    // The results arrive while no one receives them.
+    thread::sleep(2 * PROBE_TIMEOUT);
     let mut probed: Vec<ServerName> = Vec::new();
-    while let Ok((Input::Probed { server, .. }, None)) = told.recv_timeout(2 * WITHIN) {
+    while let Ok((Input::ProbeCompleted { server, .. }, None)) = results.recv_timeout(2 * PROBE_TIMEOUT) {
         probed.push(server);
     }
     let missing = servers.iter().filter(|(_, server)| !probed.contains(server)).count();
--- a/crates/whinhill-assigner/src/roster.rs
+++ b/crates/whinhill-assigner/src/roster.rs
@@ -1,5 +1,5 @@
-//! The list of servers: from a watched JSON5 file, or from an upstream control plane as one EDS resource. A feed
-//! that fails or falls silent is told as such; the list that was held stays.
+//! Reads the list of servers from a watched JSON5 file, or from an upstream control plane as one EDS resource. When the
+//! source fails or stops responding, this is reported, and the last list stays in effect.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -22,8 +22,9 @@
 use crate::config::RosterConfig;
 use crate::core::Input;
 use crate::last_list::Mailbox;
-use crate::wall::unix_ms;
+use crate::wall_clock::unix_ms;
 
+/// The state of a server on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum RosterState {
@@ -31,37 +32,39 @@
     Draining,
 }
 
+/// A server on the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RosterEntry {
     pub addr: SocketAddr,
     pub zone: String,
     pub state: RosterState,
-    /// To be compared with other servers' sizes; it has no unit.
-    #[serde(default = "one")]
+    /// The capacity relative to other servers; it has no unit.
+    #[serde(default = "default_size")]
     pub size: f64,
-    /// When it last started, in milliseconds since 1970; absent: long ago.
+    /// When the server last started, in milliseconds since 1970; absent: long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_unix_ms: Option<u64>,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
-/// The file: a server that is not in it is gone.
+/// The list file. A server that is not in it is gone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RosterFile {
     pub servers: Vec<RosterEntry>,
 }
 
-/// Reads a roster and names what is wrong with it. One that is cut short is no JSON5, so it is refused whole.
+/// Parses a list and describes what is wrong with it. A truncated list is not valid JSON5, so it is rejected as a
+/// whole.
 pub fn read_roster(text: &str) -> Result<RosterFile, String> {
     let roster: RosterFile = json5::from_str(text).map_err(|error| error.to_string())?;
-    let mut seen = BTreeSet::new();
+    let mut addrs = BTreeSet::new();
     for entry in &roster.servers {
-        if !seen.insert(entry.addr) {
+        if !addrs.insert(entry.addr) {
             return Err(format!("server {} stands twice", entry.addr));
         }
         if !entry.size.is_finite() || entry.size <= 0.0 {
@@ -71,150 +74,159 @@
     Ok(roster)
 }
 
-/// How often the file is looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// A file that can't be read, and a stream that is silent, count as failed after this.
-const SILENT: Duration = Duration::from_secs(3);
-/// How often an unchanged list is told to be current: often against the 15 s within which a new server is listed.
-const CURRENT_EVERY: Duration = Duration::from_secs(1);
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// How often the file is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// A file that can't be read counts as failed after this long; it is also the timeout of exchanges on an EDS stream.
+const FAILURE_DELAY: Duration = Duration::from_secs(3);
+/// How often an unchanged list is reported as current: often compared to the 15 s within which a new server is listed.
+const CURRENT_INTERVAL: Duration = Duration::from_secs(1);
+/// The first and the longest delay before an EDS stream is reopened.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-pub struct Feed {
+/// What the thread that reads the list works with.
+pub struct RosterFeed {
     pub config: RosterConfig,
-    /// The list that a former life kept, and where the newest goes to be kept.
-    pub last: RosterFile,
-    pub keeping: Option<Mailbox>,
+    /// The list that a former incarnation stored.
+    pub last_list: RosterFile,
+    /// Where the newest list is stored.
+    pub mailbox: Option<Mailbox>,
     pub inputs: Sender<Input>,
     pub stop: Arc<AtomicBool>,
     pub drivers: Drivers,
     pub node: String,
-    /// Set once a list has been told: until then no custody is asked for, since to the module an owner that no
-    /// list names is gone.
-    pub listed: Arc<AtomicBool>,
+    /// Set once a list has been published; a stored list counts if it has servers. Until then no custody is claimed,
+    /// since the module treats an owner that is on no list as gone.
+    pub list_published: Arc<AtomicBool>,
 }
 
-impl Feed {
-    /// Tells the last list, then follows the feed until the assigner stops.
+impl RosterFeed {
+    /// Publishes the stored list, then follows the source until the assigner stops.
     pub fn run(mut self) {
-        let last = std::mem::take(&mut self.last);
+        let last = std::mem::take(&mut self.last_list);
         info!(servers = last.servers.len(), "started from the last list");
-        let known = !last.servers.is_empty();
+        let has_list = !last.servers.is_empty();
         let stored = Input::Roster { kind: ListKind::Stored, entries: last.servers, unix_ms: unix_ms() };
         if self.inputs.send(stored).is_err() {
             return;
         }
-        self.listed.store(known, Ordering::Release);
+        self.list_published.store(has_list, Ordering::Release);
         match self.config.clone() {
             RosterConfig::File { path } => self.follow_file(&path),
             RosterConfig::Eds { addr, resource } => self.follow_eds(addr, &resource),
         }
     }
 
-    fn stopping(&self) -> bool {
+    fn is_stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    fn tell(&self, roster: RosterFile) {
-        // Told first: a drain that waited for a stalled disk was told up to 3 s late, after its grace.
+    /// Sends a list to the decision thread, then stores it.
+    fn publish(&self, roster: RosterFile) {
+        // Sent before it is stored: with a stalled disk a drain was published up to 3 s late, after its grace period.
         let (entries, unix_ms) = (roster.servers.clone(), unix_ms());
-        // The decision thread has ended: then so do we, at the next look.
+        // This fails only after the decision thread has ended; then this thread ends at its next check.
         let _ = self.inputs.send(Input::Roster { kind: ListKind::Full, entries, unix_ms });
-        self.listed.store(true, Ordering::Release);
-        if let Some(mailbox) = &self.keeping {
+        self.list_published.store(true, Ordering::Release);
+        if let Some(mailbox) = &self.mailbox {
             mailbox.put(roster);
         }
     }
 
-    /// The list that was told last still stands; said now and then.
-    fn is_current(&self, told: &mut Instant) {
-        if told.elapsed() >= CURRENT_EVERY {
-            *told = Instant::now();
-            let _ = self.inputs.send(Input::RosterIsCurrent);
+    /// Reports at intervals that the last list is still current.
+    fn publish_unchanged(&self, last_unchanged_at: &mut Instant) {
+        if last_unchanged_at.elapsed() >= CURRENT_INTERVAL {
+            *last_unchanged_at = Instant::now();
+            let _ = self.inputs.send(Input::RosterUnchanged);
         }
     }
 
-    fn failed(&self) {
+    /// Reports that the source has failed.
+    fn publish_failure(&self) {
         let _ = self.inputs.send(Input::Roster { kind: ListKind::Failed, entries: Vec::new(), unix_ms: 0 });
     }
 
+    /// Reads the file again and again.
     fn follow_file(&self, path: &Path) {
-        let (mut held, mut good, mut told_bad) = (String::new(), Instant::now(), false);
-        let mut current = Instant::now();
-        while !self.stopping() {
-            let read = fs::read_to_string(path).map_err(|error| error.to_string());
-            match read.and_then(|text| {
-                if text == held {
+        let (mut last_text, mut last_good_at, mut failure_published) = (String::new(), Instant::now(), false);
+        let mut last_unchanged_at = Instant::now();
+        while !self.is_stopping() {
+            let text = fs::read_to_string(path).map_err(|error| error.to_string());
+            match text.and_then(|text| {
+                if text == last_text {
                     Ok(None)
                 } else {
                     read_roster(&text).map(|r| Some((text, r)))
                 }
             }) {
                 Ok(new) => {
-                    (good, told_bad) = (Instant::now(), false);
+                    (last_good_at, failure_published) = (Instant::now(), false);
                     if let Some((text, roster)) = new {
-                        held = text;
-                        self.tell(roster);
+                        last_text = text;
+                        self.publish(roster);
                     } else {
-                        self.is_current(&mut current);
+                        self.publish_unchanged(&mut last_unchanged_at);
                     }
                 }
-                // A file half written is whole again in a moment; only one that stays bad is a failure.
-                Err(error) if good.elapsed() > SILENT && !told_bad => {
-                    told_bad = true;
+                // A half-written file is complete a moment later; only one that stays unreadable is a failure.
+                Err(error) if last_good_at.elapsed() > FAILURE_DELAY && !failure_published => {
+                    failure_published = true;
                     warn!(path = %path.display(), %error, "the roster can't be read; the last list stands");
-                    self.failed();
+                    self.publish_failure();
                 }
                 Err(_) => {}
             }
-            std::thread::park_timeout(LOOK);
+            std::thread::park_timeout(POLL_INTERVAL);
         }
     }
 
+    /// Keeps an EDS stream open.
     fn follow_eds(&self, addr: SocketAddr, resource: &str) {
         let node = proto::Node { id: self.node.clone(), ..Default::default() };
         let mut client = ClientStream::new(Variant::Incremental, node);
         client.subscribe(Kind::Endpoints, false, [resource.to_string()].into());
-        let (mut back_off, mut well) = (BACK_OFF.0, true);
-        while !self.stopping() {
-            let mut heard = false;
-            let Err(error) = self.eds_stream(&mut client, addr, resource, &mut heard) else { return };
-            if heard {
-                (back_off, well) = (BACK_OFF.0, true);
+        let (mut backoff, mut healthy) = (MIN_BACKOFF, true);
+        while !self.is_stopping() {
+            let mut received_list = false;
+            let Err(error) = self.eds_stream(&mut client, addr, resource, &mut received_list) else { return };
+            if received_list {
+                (backoff, healthy) = (MIN_BACKOFF, true);
             }
-            if std::mem::replace(&mut well, false) {
+            if std::mem::replace(&mut healthy, false) {
                 warn!(%addr, %error, "the roster's stream is lost; the last list stands");
             }
-            self.failed();
-            let until = Instant::now() + back_off;
-            back_off = (back_off * 2).min(BACK_OFF.1);
-            while !self.stopping() && Instant::now() < until {
-                std::thread::park_timeout(LOOK.min(until.saturating_duration_since(Instant::now())));
+            self.publish_failure();
+            let until = Instant::now() + backoff;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
+            while !self.is_stopping() && Instant::now() < until {
+                std::thread::park_timeout(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
             }
         }
     }
 
+    /// Follows one EDS stream until it fails or the assigner stops.
     fn eds_stream(
         &self,
         client: &mut ClientStream,
         addr: SocketAddr,
         resource: &str,
-        heard: &mut bool,
+        received_list: &mut bool,
     ) -> Result<(), CallError> {
         let limits = Limits { handshake: Duration::from_secs(1), ..Limits::default() };
         let connection = Client::connect(addr, limits.clone(), &self.drivers)?;
         let (mut writer, pending) = connection.call(client.variant().path(), &[], limits.handshake)?;
         for request in client.open() {
-            writer.send(&request.encode(), SILENT)?;
+            writer.send(&request.encode(), FAILURE_DELAY)?;
         }
-        let mut reader = pending.head(SILENT)?.reader;
-        let mut current = Instant::now();
+        let mut reader = pending.head(FAILURE_DELAY)?.reader;
+        let mut last_unchanged_at = Instant::now();
         let malformed = |_| CallError::Malformed("a message that is none of the protocol's");
-        while !self.stopping() {
-            let message = match reader.recv(LOOK) {
-                // Silence is no failure while the connection answers pings: nothing has changed.
+        while !self.is_stopping() {
+            let message = match reader.recv(POLL_INTERVAL) {
+                // No message is no failure while the connection answers pings: the list has not changed.
                 Err(CallError::Deadline(_)) => {
-                    if *heard {
-                        self.is_current(&mut current);
+                    if *received_list {
+                        self.publish_unchanged(&mut last_unchanged_at);
                     }
                     continue;
                 }
@@ -223,10 +235,10 @@
             let response = Response::decode(client.variant(), &message).map_err(malformed)?;
             let update =
                 client.hear(&response).map_err(|_| CallError::Malformed("an unknown resource type"))?;
-            let answer = match read_eds(&update, resource) {
+            let answer = match parse_eds(&update, resource) {
                 Ok(roster) => {
-                    *heard = true;
-                    roster.into_iter().for_each(|roster| self.tell(roster));
+                    *received_list = true;
+                    roster.into_iter().for_each(|roster| self.publish(roster));
                     client.accept(&update)
                 }
                 Err(reason) => {
@@ -234,14 +246,14 @@
                     client.reject(&update, &reason)
                 }
             };
-            writer.send(&answer.encode(), SILENT)?;
+            writer.send(&answer.encode(), FAILURE_DELAY)?;
         }
         writer.finish()
     }
 }
 
-/// The fleet as one load assignment: health, zone, and in the metadata size and start.
-fn read_eds(update: &Update, resource: &str) -> Result<Option<RosterFile>, String> {
+/// Reads the list from a cluster load assignment: health status, zone, and from the metadata size and start time.
+fn parse_eds(update: &Update, resource: &str) -> Result<Option<RosterFile>, String> {
     if let Some(fault) = &update.fault {
         return Err(fault.clone());
     }
@@ -249,9 +261,10 @@
     else {
         return Ok(None);
     };
-    let read = proto::ClusterLoadAssignment::decode(body.as_ref()).map_err(|error| error.to_string())?;
+    let assignment =
+        proto::ClusterLoadAssignment::decode(body.as_ref()).map_err(|error| error.to_string())?;
     let mut servers = Vec::new();
-    for locality in &read.endpoints {
+    for locality in &assignment.endpoints {
         let zone = locality.locality.as_ref().map(|l| l.zone.clone()).unwrap_or_default();
         for line in &locality.lb_endpoints {
             let name = line.endpoint.as_ref().and_then(|e| e.address.as_ref()).and_then(server_name);
--- a/crates/whinhill-assigner/src/roster/tests.rs
+++ b/crates/whinhill-assigner/src/roster/tests.rs
@@ -1,38 +1,40 @@
+//! The list of servers from a file.
+
 use std::thread;
 
 use super::*;
 
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A file that stays as it is tells that its list is current, and one that cannot be read does not.
+/// An unchanged file must keep its list current, and a file that cannot be read must not.
 #[test]
-fn an_unchanged_file_is_current_and_a_missing_one_is_not() {
+fn unchanged_file_is_reported_as_current_and_missing_file_as_failed() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("roster.json5");
     fs::write(&path, "{ servers: [] }").unwrap();
-    let (inputs, told) = crossbeam_channel::unbounded();
+    let (inputs, published) = crossbeam_channel::unbounded();
     let stop = Arc::new(AtomicBool::new(false));
-    let feed = Feed {
+    let feed = RosterFeed {
         config: RosterConfig::File { path: path.clone() },
-        last: RosterFile::default(),
-        keeping: None,
+        last_list: RosterFile::default(),
+        mailbox: None,
         inputs,
         stop: stop.clone(),
         drivers: Drivers::start("test", 1).unwrap(),
         node: "a".to_string(),
-        listed: Arc::default(),
+        list_published: Arc::default(),
     };
     let running = thread::spawn(move || feed.run());
-    let is = |wanted: fn(&Input) -> bool| {
-        let until = Instant::now() + WITHIN;
-        while !wanted(&told.recv_deadline(until).expect("told in time")) {}
+    let wait_for = |wanted: fn(&Input) -> bool| {
+        let until = Instant::now() + TIMEOUT;
+        while !wanted(&published.recv_deadline(until).expect("published in time")) {}
     };
-    is(|input| matches!(input, Input::Roster { kind: ListKind::Full, .. }));
-    is(|input| matches!(input, Input::RosterIsCurrent));
+    wait_for(|input| matches!(input, Input::Roster { kind: ListKind::Full, .. }));
+    wait_for(|input| matches!(input, Input::RosterUnchanged));
     fs::remove_file(&path).unwrap();
-    is(|input| matches!(input, Input::Roster { kind: ListKind::Failed, .. }));
-    thread::sleep(CURRENT_EVERY * 2);
-    assert!(!told.try_iter().any(|input| matches!(input, Input::RosterIsCurrent)));
+    wait_for(|input| matches!(input, Input::Roster { kind: ListKind::Failed, .. }));
+    thread::sleep(CURRENT_INTERVAL * 2);
+    assert!(!published.try_iter().any(|input| matches!(input, Input::RosterUnchanged)));
     stop.store(true, Ordering::Relaxed);
     running.join().unwrap();
 }
