--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -375,6 +375,7 @@
     /// The number of the last persisted history update.
     persisted_seq: u64,
     requests: Receiver<OperatorCall>,
+    /// Where the answers go, by request id.
     answer_senders: BTreeMap<u64, Sender<Answer>>,
     /// Request id, number of the history update that must be persisted first, and answer.
     pending_answers: Vec<(u64, u64, Answer)>,
--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -105,6 +105,7 @@
     service: Arc<Service>,
     /// The stream of each proxy that has joined.
     joined_streams: BTreeMap<ProxyId, u64>,
+    /// When the module wants to be called next.
     next_wake: Duration,
     /// When each ack sequence number was ordered that may still be acknowledged.
     ack_seq_ordered_at: BTreeMap<u16, Duration>,
@@ -113,6 +114,7 @@
     ack_latency: Histogram<u64>,
     /// Microseconds from an order to its acknowledgement by the last proxy.
     full_ack_latency: Histogram<u64>,
+    /// Sabotage: treat each ack sequence number as acknowledged at once.
     skip_ack_wait: bool,
     /// Whether a first list of servers has arrived.
     started: bool,
@@ -126,6 +128,7 @@
     history_recorder: Chronicle,
     max_withhold: Duration,
     unix_ms: u64,
+    /// Requests of this batch that are still to be answered, with their ids.
     operator_requests: Vec<(u64, Ask)>,
 }
 
@@ -283,7 +286,7 @@
         let published = self.publisher.published();
         let (unix_ms, cause) = (self.unix_ms, effects.log.first().cloned());
         self.history_recorder.record(Batch { now, unix_ms, published, touched, granted, cause });
-        let servers = ModuleServerView { module: &self.module, names: &self.names };
+        let server_view = ModuleServerView { module: &self.module, names: &self.names };
         for (id, request) in std::mem::take(&mut self.operator_requests) {
             // Only a request that changes something must be persisted before it is answered: with a full disk the
             // history can still be read.
@@ -293,7 +296,7 @@
                 request => crate::operator_handler::answer(
                     &mut self.history_recorder,
                     published,
-                    &servers,
+                    &server_view,
                     now,
                     request,
                 ),
@@ -329,8 +332,9 @@
             self.events_before_first_list = events;
             return;
         }
-        let servers = ModuleServerView { module: &self.module, names };
-        let (requested_moves, ended) = self.history_recorder.look(now, self.publisher.published(), &servers);
+        let server_view = ModuleServerView { module: &self.module, names };
+        let (requested_moves, ended) =
+            self.history_recorder.look(now, self.publisher.published(), &server_view);
         effects.log.extend(ended);
         for (slice, server) in requested_moves {
             events.push(Event::Wished { slice, to: self.names.ep(&server) });
--- a/crates/whinhill-assigner/src/hub.rs
+++ b/crates/whinhill-assigner/src/hub.rs
@@ -143,6 +143,7 @@
         }
     }
 
+    /// Locks the streams.
     fn streams(&self) -> MutexGuard<'_, BTreeMap<String, Arc<Stream>>> {
         self.streams.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -184,13 +185,13 @@
         let node = first.node.unwrap_or_default();
         let (proxy, zone) = (node.id, node.locality.map(|l| l.zone).unwrap_or_default());
         if proxy.is_empty() || proxy.len() > MAX_NAME_BYTES || zone.len() > MAX_NAME_BYTES {
-            let what = "the first message must name a node";
-            return writer.close(Code::InvalidArgument, what, Trailers::new());
+            let message = "the first message must name a node";
+            return writer.close(Code::InvalidArgument, message, Trailers::new());
         }
         if !self.admit_name(&proxy) {
             return writer.close(Code::ResourceExhausted, "too many names of proxies", Trailers::new());
         }
-        let _expected = OpenReportStream::begin(self, &proxy, &zone);
+        let _open_stream = OpenReportStream::begin(self, &proxy, &zone);
         let mut current = self.report_period;
         writer.send(&report_interval_response(current).encode_to_vec(), WRITE_TIMEOUT)?;
         while !self.stop.load(Ordering::Relaxed) {
@@ -220,8 +221,8 @@
         intervals.get(proxy).copied().unwrap_or(self.report_period)
     }
 
-    /// Sets the report interval of a proxy, which is sent after its next report. The number of proxies is bounded, as
-    /// their names are.
+    /// Sets the report interval of a proxy. Its load report stream sends it after the next report or poll. The number
+    /// of entries is bounded by the number of admitted names.
     pub fn set_report_interval(&self, proxy: &str, interval: Duration) {
         let mut intervals = self.report_intervals.lock().unwrap_or_else(PoisonError::into_inner);
         if interval == self.report_period {
@@ -544,6 +545,7 @@
 }
 
 impl<'a> OpenReportStream<'a> {
+    /// Reports that the stream opened.
     fn begin(hub: &'a Hub, proxy: &'a str, zone: &str) -> Self {
         hub.send_input(Input::ReportStreamOpened { proxy: proxy.to_string(), zone: zone.to_string() });
         OpenReportStream { hub, proxy }
