--- a/crates/whinhill-standins/src/platform.rs
+++ b/crates/whinhill-standins/src/platform.rs
@@ -1,31 +1,31 @@
-//! Stand-ins for the operators' platform, written from its published protocol, and the soak that plays assigners
-//! between them as processes.
+//! Stand-ins for the operators' platform, written from its published protocol, and the soak, which runs
+//! assigners as processes among them and audits the result.
 
 pub mod audit;
 mod channel;
 pub mod clients;
-mod cold;
+mod cold_budget;
 mod collectors;
 mod custody;
+mod data_plane;
+mod detection_times;
 mod discovery;
 mod fleet;
-mod lost;
+mod lost_rpcs;
 mod node;
-mod oracle;
-pub mod page;
-mod plane;
+pub mod parameters;
 mod process;
+mod reference;
 mod relay;
-mod reporting;
+mod report_delivery;
+mod rpc_shares;
 mod sabotage;
 pub mod script;
 mod servers;
-mod silence;
 pub mod soak;
+mod state;
 pub mod streams;
-mod tally;
 mod traffic;
-mod world;
 mod writers;
 
 pub use sabotage::Sabotage;
--- a/crates/whinhill-standins/src/platform/audit.rs
+++ b/crates/whinhill-standins/src/platform/audit.rs
@@ -1,187 +1,209 @@
-//! The auditor: what the rules say of the proxies' tables, and what clients' requests came to. It reads the records
-//! of both ends, never an assigner's log.
+//! Audits the proxies' tables and the requests of clients against the platform's rules. It reads
+//! the records of both ends and never an assigner's log.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
 use super::clients::{Ending, Request};
-use super::page::*;
-use super::world::{Status, World};
+use super::parameters::*;
+use super::state::{PlatformState, Status};
 
-/// A rule.
+/// A rule of the platform that the audit checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// A request at an assigner's address got no final answer.
     Unanswered,
-    /// It got one too late.
+    /// A request got its final answer too late.
     Late,
-    /// Proxies had no line to pick for too long.
+    /// A proxy had no line for a slice for too long.
     NoLine,
-    /// They had a line at a server that drains or is gone for too long.
+    /// A proxy had a line at a draining or deleted server for too long.
     Drain,
-    /// Writes of one slice were let in at two servers at a time.
+    /// Writes of one slice were admitted at two servers at the same time.
     TwoWriters,
-    /// Over the limit of memory or descriptors.
+    /// A process exceeded its limit of memory or descriptors.
     Limits,
-    /// It ended by itself, or was not ready in time.
+    /// A process ended by itself or was not ready in time.
     Crash,
-    /// More RPCs were lost than by the reference, over the run or a window.
+    /// More RPCs were lost than the reference allows, over the run or in one window.
     RpcLost,
-    /// More were refused over the run.
+    /// More RPCs were refused over the run than the reference allows.
     RpcRefused,
-    /// A cold server was sent more than it stands.
+    /// A cold server was sent more work than its budget.
     ColdBudget,
-    /// More lines waited in an assigner's channel than may.
+    /// An assigner's channel queued more lines than allowed.
     Backlog,
 }
 
-/// A rule that was broken, once.
+/// One violation of a rule.
 #[derive(Clone, Debug, Serialize)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at_ms: u64,
     pub what: String,
 }
 
-/// A draining or gone server at which a proxy has a line, and for how long the time limit has run.
+/// How long a proxy's line has stayed at a draining or deleted server while the time limit was
+/// running.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Leaving {
+struct DrainTimer {
     server: Option<usize>,
     time: Duration,
 }
 
-/// What the tables have shown so far.
+/// Checks the proxies' tables over time.
 pub struct TableAudit {
-    last: Duration,
-    /// By slice and proxy, for how long its time limits have run.
-    empty: Vec<Vec<Duration>>,
-    drain: Vec<Vec<Leaving>>,
-    pub broken: Vec<Broken>,
+    last_check: Duration,
+    /// By slice and proxy: the time without a line, counted while the limit was running.
+    time_without_line: Vec<Vec<Duration>>,
+    drain_timers: Vec<Vec<DrainTimer>>,
+    pub violations: Vec<Violation>,
 }
 
 impl TableAudit {
-    /// Nothing was seen yet.
+    /// Creates an audit that has seen no tables yet.
     pub fn new(proxies: usize) -> Self {
         TableAudit {
-            last: Duration::ZERO,
-            empty: vec![vec![Duration::ZERO; proxies]; SLICES],
-            drain: vec![vec![Leaving::default(); proxies]; SLICES],
-            broken: Vec::new(),
+            last_check: Duration::ZERO,
+            time_without_line: vec![vec![Duration::ZERO; proxies]; SLICES],
+            drain_timers: vec![vec![DrainTimer::default(); proxies]; SLICES],
+            violations: Vec::new(),
         }
     }
 
-    /// Looks at all tables; the time since the last look counts as what is seen now.
-    pub fn look(&mut self, world: &World) {
-        let now = world.now();
-        let passed = now.saturating_sub(self.last);
-        self.last = now;
-        let has_warm = world.has_warm_server();
+    /// Checks all tables. The time since the last check counts as if the current state had lasted
+    /// for all of it.
+    pub fn check(&mut self, platform: &PlatformState) {
+        let now = platform.now();
+        let elapsed = now.saturating_sub(self.last_check);
+        self.last_check = now;
+        let has_warm_server = platform.has_warm_server();
         for slice in 0..SLICES {
-            let Some(holder) = world.slices[slice].holder else {
-                self.empty[slice].fill(Duration::ZERO);
-                self.drain[slice].fill(Leaving::default());
+            let Some(holder) = platform.slices[slice].holder else {
+                self.time_without_line[slice].fill(Duration::ZERO);
+                self.drain_timers[slice].fill(DrainTimer::default());
                 continue;
             };
-            let node = &world.nodes[holder];
-            let serves = node.first_answer.is_some_and(|at| now >= at + AFTER_FIRST_ANSWER);
-            let runs = serves && now >= node.excused_until;
-            self.look_for_lines(world, slice, has_warm, runs, passed);
-            self.look_for_drains(world, slice, holder, runs, passed);
-            self.look_for_writers(world, slice);
+            let node = &platform.nodes[holder];
+            let serves = node.first_answer_at.is_some_and(|at| now >= at + GRACE_AFTER_FIRST_ANSWER);
+            let is_limit_running = serves && now >= node.limits_suspended_until;
+            self.check_lines(platform, slice, has_warm_server, is_limit_running, elapsed);
+            self.check_drains(platform, slice, holder, is_limit_running, elapsed);
+            self.check_writers(platform, slice);
         }
     }
 
-    fn look_for_lines(&mut self, world: &World, slice: usize, has_warm: bool, runs: bool, passed: Duration) {
-        for proxy in 0..world.proxies {
-            let is_without = world.is_joined(proxy, slice) && world.tables[proxy][slice].server.is_none();
-            let empty = &mut self.empty[slice][proxy];
-            if !is_without || !has_warm {
-                *empty = Duration::ZERO;
-            } else if runs {
-                *empty += passed;
+    fn check_lines(
+        &mut self,
+        platform: &PlatformState,
+        slice: usize,
+        has_warm_server: bool,
+        is_limit_running: bool,
+        elapsed: Duration,
+    ) {
+        for proxy in 0..platform.proxies {
+            let has_no_line =
+                platform.is_joined(proxy, slice) && platform.tables[proxy][slice].server.is_none();
+            let time = &mut self.time_without_line[slice][proxy];
+            if !has_no_line || !has_warm_server {
+                *time = Duration::ZERO;
+            } else if is_limit_running {
+                *time += elapsed;
             }
         }
-        if self.empty[slice].iter().any(|empty| *empty > EMPTY_FOR + SLACK) {
-            let what = format!("slice {slice} of {:?}: a proxy has no line", world.slices[slice].holder);
-            self.break_rule(world, Rule::NoLine, what);
-            self.empty[slice].fill(Duration::ZERO);
+        if self.time_without_line[slice].iter().any(|time| *time > MAX_TIME_WITHOUT_LINE + TIME_LIMIT_SLACK) {
+            let what = format!("slice {slice} of {:?}: a proxy has no line", platform.slices[slice].holder);
+            self.record_violation(platform, Rule::NoLine, what);
+            self.time_without_line[slice].fill(Duration::ZERO);
         }
     }
 
-    fn look_for_drains(&mut self, world: &World, slice: usize, holder: usize, runs: bool, passed: Duration) {
-        let now = world.now();
+    fn check_drains(
+        &mut self,
+        platform: &PlatformState,
+        slice: usize,
+        holder: usize,
+        is_limit_running: bool,
+        elapsed: Duration,
+    ) {
+        let now = platform.now();
         let mut late = None;
-        for proxy in 0..world.proxies {
-            let server = world.tables[proxy][slice].server.filter(|_| world.is_joined(proxy, slice));
-            let leaves = |server: &usize| world.servers[*server].status != Status::Ready;
-            let change = |server: usize| world.changes.iter().rev().find(|change| change.server == server);
-            let is_told =
-                |server: &usize| change(*server).is_some_and(|change| now >= world.told_at(holder, change));
-            let leaving = server.filter(leaves).filter(is_told);
-            let drain = &mut self.drain[slice][proxy];
-            if drain.server != leaving {
-                *drain = Leaving { server: leaving, time: Duration::ZERO };
-            } else if leaving.is_some() && now >= world.slices[slice].given_at && runs {
-                drain.time += passed;
+        for proxy in 0..platform.proxies {
+            let server = platform.tables[proxy][slice].server.filter(|_| platform.is_joined(proxy, slice));
+            let leaves = |server: &usize| platform.servers[*server].status != Status::Ready;
+            let change = |server: usize| platform.changes.iter().rev().find(|change| change.server == server);
+            let is_informed = |server: &usize| {
+                change(*server).is_some_and(|change| now >= platform.informed_at(holder, change))
+            };
+            let leaving = server.filter(leaves).filter(is_informed);
+            let timer = &mut self.drain_timers[slice][proxy];
+            if timer.server != leaving {
+                *timer = DrainTimer { server: leaving, time: Duration::ZERO };
+            } else if leaving.is_some() && now >= platform.slices[slice].acquired_at && is_limit_running {
+                timer.time += elapsed;
             }
-            late = late.or(leaving.filter(|_| drain.time > STOP_SENDING_WITHIN + SLACK));
+            late = late.or(leaving.filter(|_| timer.time > MAX_STOP_SENDING_TIME + TIME_LIMIT_SLACK));
         }
         if let Some(server) = late {
-            let name = &world.servers[server].name;
-            self.break_rule(world, Rule::Drain, format!("slice {slice} of n{holder} stays at {name}"));
-            self.drain[slice].fill(Leaving::default());
+            let name = &platform.servers[server].name;
+            self.record_violation(
+                platform,
+                Rule::Drain,
+                format!("slice {slice} of n{holder} stays at {name}"),
+            );
+            self.drain_timers[slice].fill(DrainTimer::default());
         }
     }
 
-    fn look_for_writers(&mut self, world: &World, slice: usize) {
-        let writes = CLASSES.iter().position(|class| class.writes).unwrap_or(0);
+    fn check_writers(&mut self, platform: &PlatformState, slice: usize) {
+        let write_class = CLASSES.iter().position(|class| class.writes).unwrap_or(0);
         let is_open = |proxy: &usize| {
-            world.may_write(*proxy, slice) && world.tables[*proxy][slice].levels[writes] > 0.0
+            platform.may_write(*proxy, slice) && platform.tables[*proxy][slice].levels[write_class] > 0.0
         };
-        let open = (0..world.proxies).filter(is_open);
-        let mut servers: Vec<usize> = open.filter_map(|proxy| world.tables[proxy][slice].server).collect();
+        let open = (0..platform.proxies).filter(is_open);
+        let mut servers: Vec<usize> = open.filter_map(|proxy| platform.tables[proxy][slice].server).collect();
         servers.sort_unstable();
         servers.dedup();
-        if servers.len() > 1 && !self.broken.iter().any(|b| b.rule == Rule::TwoWriters) {
-            let names: Vec<&str> = servers.iter().map(|s| world.servers[*s].name.as_str()).collect();
-            let holder = world.slices[slice].holder;
-            self.break_rule(
-                world,
+        if servers.len() > 1 && !self.violations.iter().any(|violation| violation.rule == Rule::TwoWriters) {
+            let names: Vec<&str> = servers.iter().map(|s| platform.servers[*s].name.as_str()).collect();
+            let holder = platform.slices[slice].holder;
+            self.record_violation(
+                platform,
                 Rule::TwoWriters,
                 format!("slice {slice} of {holder:?} writes at {names:?}"),
             );
         }
     }
 
-    fn break_rule(&mut self, world: &World, rule: Rule, what: String) {
-        self.broken.push(Broken { rule, at_ms: world.now().as_millis() as u64, what });
+    fn record_violation(&mut self, platform: &PlatformState, rule: Rule, what: String) {
+        self.violations.push(Violation { rule, at_ms: platform.now().as_millis() as u64, what });
     }
 }
 
-/// What was done to a process, and round it, that excuses a request's ending or its lateness.
+/// Events around a process that excuse a request without an answer or a late answer.
 #[derive(Clone, Debug, Default)]
 pub struct Excuses {
     pub ends: Vec<End>,
-    /// SIGSTOP to SIGCONT.
+    /// From SIGSTOP to SIGCONT.
     pub pauses: Vec<(Duration, Duration)>,
     pub crowds: Vec<Crowd>,
 }
 
-/// The end of a process by a kill.
+/// The end of a process by SIGKILL.
 #[derive(Clone, Debug)]
 pub struct End {
-    /// When SIGTERM was sent; `None`: the kill came without a word before.
+    /// When SIGTERM was sent; `None` if SIGKILL came without a SIGTERM.
     pub told: Option<Duration>,
-    /// When the kill was sent, and when the process was gone.
+    /// When SIGKILL was sent, and when the process had exited.
     pub killed: Duration,
     pub gone: Duration,
-    /// When the next process answered.
+    /// When the next process first answered.
     pub back: Option<Duration>,
 }
 
-/// Clients beside those that ask all the time; until they were told to stop.
+/// A group of clients, from its start until it was told to stop.
 #[derive(Clone, Debug)]
 pub struct Crowd {
     pub clients: usize,
@@ -189,136 +211,147 @@
     pub until: Option<Duration>,
 }
 
-/// How a request reached the address.
+/// How a request reached the assigner's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
     Direct,
-    /// By a proxy of bytes, which takes connections whatever becomes of the process, and hands the other side's end
-    /// on late.
+    /// Through a byte proxy, which accepts connections even when no process is there and forwards
+    /// an end of stream with a delay.
     ByProxy,
 }
 
-/// Why a request without an answer breaks no rule.
+/// Why a request without an answer violates no rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Excuse {
-    /// A kill without a word before.
+    /// SIGKILL without a SIGTERM before it.
     Killed,
-    /// The kill after SIGTERM.
+    /// SIGKILL after SIGTERM.
     Cut,
-    /// There were more clients than places, and this one did not look whether it had given its up.
+    /// There were more clients than connections that an assigner keeps, and this client did not
+    /// check whether its own had been closed.
     CrowdedOut,
 }
 
-/// How much later than a kill its clients may notice, on a busy machine.
-const NOTICED_WITHIN: Duration = Duration::from_millis(300);
+/// How much later than SIGKILL a client may notice the end on a busy machine.
+const MAX_NOTICE_DELAY: Duration = Duration::from_millis(300);
 
-/// A client that looked at its connection, and lost the processor before it asked, asks so much later at most. Shorter
-/// than any process is down: what comes after the next start is not excused.
-const LOOKED_BEFORE: Duration = Duration::from_millis(50);
+/// The longest time from a client's check of its connection to its request, if it loses the
+/// processor in between. This is shorter than any downtime of a process, so that requests after the
+/// next start are not excused.
+const MAX_CHECK_TO_SEND_GAP: Duration = Duration::from_millis(50);
 
-/// A request that was sent later than this before a kill that SIGTERM preceded may be cut by it.
-const CUT_WITHIN: Duration = Duration::from_millis(20);
-/// A killed process that takes longer to be gone is kept from running by the machine.
-const STARVED_FROM: Duration = Duration::from_millis(20);
-/// A proxy of bytes holds a request or an end for so long at most.
-const PROXY_HOLDS: Duration = Duration::from_millis(100);
-/// So long after SIGTERM an assigner serves its address at least, whatever its clients do.
-const SERVED_AFTER_TERM: Duration = Duration::from_millis(750);
-/// Places that clients find at least: descriptors less those of relay, discovery, probes and collectors; and while an
-/// assigner ends, less its own and those of collectors.
-const PLACES: usize = SOCKETS - 80;
-const PLACES_AT_THE_END: usize = SOCKETS - 24;
-/// An assigner that was told to end has all these places for clients after this.
-const PLACES_FREE_WITHIN: Duration = Duration::from_millis(300);
-/// Clients of a crowd that was told to stop are gone after this, and whoever had to give up a place has learned it.
-const CROWD_LINGERS: Duration = Duration::from_millis(300);
+/// A request may be cut if it was sent within this time before a SIGKILL that followed SIGTERM, or
+/// later.
+const CUT_MARGIN: Duration = Duration::from_millis(20);
+/// If a killed process takes longer than this to exit, the machine kept it from running.
+const STARVATION_THRESHOLD: Duration = Duration::from_millis(20);
+/// The longest time for which a byte proxy holds back a request or an end of stream.
+const MAX_PROXY_HOLD: Duration = Duration::from_millis(100);
+/// The least time after SIGTERM for which an assigner serves its address, whatever its clients do.
+const MIN_SERVICE_AFTER_TERM: Duration = Duration::from_millis(750);
+/// The least number of connections that clients can have: all descriptors but those of the relay,
+/// discovery, probes and collectors; and during shutdown all but the assigner's own and those of the
+/// collectors.
+const MIN_CLIENT_CONNECTIONS: usize = MAX_DESCRIPTORS - 80;
+const MIN_CLIENT_CONNECTIONS_AT_SHUTDOWN: usize = MAX_DESCRIPTORS - 24;
+/// After this time from SIGTERM all connections of [`MIN_CLIENT_CONNECTIONS_AT_SHUTDOWN`] are
+/// available to clients.
+const SHUTDOWN_CONNECTIONS_FREED_AFTER: Duration = Duration::from_millis(300);
+/// After this time the clients of a stopped crowd have gone, and each client whose connection was
+/// closed to make room has learned it.
+const CROWD_LINGER_TIME: Duration = Duration::from_millis(300);
 
 impl End {
-    /// For how long after the kill the machine kept the process from running, and so before it: a killed process is
-    /// gone within milliseconds.
-    fn starved(&self) -> Duration {
-        let lasted = self.gone.saturating_sub(self.killed);
-        if lasted > STARVED_FROM {
-            lasted
+    /// How long the machine kept the process from running after the kill; the same time is assumed
+    /// before the kill. A killed process usually exits within milliseconds.
+    fn starvation(&self) -> Duration {
+        let exit_time = self.gone.saturating_sub(self.killed);
+        if exit_time > STARVATION_THRESHOLD {
+            exit_time
         } else {
             Duration::ZERO
         }
     }
 
-    /// Whether a request that was asked for at `since` and later ended with this.
-    fn covers(&self, request: &Request, since: Duration, way: Way) -> bool {
+    /// Whether this end of the process excuses the request. `since` is when the clients were
+    /// started.
+    fn covers(&self, request: &Request, since: Duration, client_path: Way) -> bool {
         let [from, written, opened] = [request.sent, request.written, request.opened].map(|at| since + at);
-        let held = if way == Way::ByProxy { PROXY_HOLDS } else { Duration::ZERO };
+        let held = if client_path == Way::ByProxy { MAX_PROXY_HOLD } else { Duration::ZERO };
         let before = match self.told {
-            // Where the kill came late the process may have begun to end.
+            // If the kill came late, the process may have begun to exit before it.
             Some(told) => {
-                let owed_until = self.killed.min(told + SERVED_AFTER_TERM);
-                written + CUT_WITHIN + held + self.starved() > owed_until
+                let answers_due_until = self.killed.min(told + MIN_SERVICE_AFTER_TERM);
+                written + CUT_MARGIN + held + self.starvation() > answers_due_until
             }
-            None => self.killed <= from + request.took + NOTICED_WITHIN,
+            None => self.killed <= from + request.took + MAX_NOTICE_DELAY,
         };
-        let after = match way {
+        let after = match client_path {
             Way::ByProxy => self.back.is_none_or(|back| from <= back + held),
-            // It learns of the end by its next request.
+            // Such a client learns of the end only by its next request.
             Way::Direct if request.never_looks => opened <= self.gone,
-            Way::Direct => from <= self.gone + LOOKED_BEFORE,
+            Way::Direct => from <= self.gone + MAX_CHECK_TO_SEND_GAP,
         };
         before && after
     }
 }
 
 impl Excuses {
-    /// How much of a stretch the process stood still.
-    fn stood_still(&self, from: Duration, until: Duration) -> Duration {
+    /// How much of the interval the process was stopped.
+    fn time_stopped(&self, from: Duration, until: Duration) -> Duration {
         let overlap =
             |(begin, end): &(Duration, Duration)| (*end).min(until).saturating_sub((*begin).max(from));
         self.pauses.iter().map(overlap).sum()
     }
 
-    fn excuse(&self, request: &Request, since: Duration, way: Way) -> Option<Excuse> {
-        if let Some(end) = self.ends.iter().find(|end| end.covers(request, since, way)) {
+    fn find_excuse(&self, request: &Request, since: Duration, client_path: Way) -> Option<Excuse> {
+        if let Some(end) = self.ends.iter().find(|end| end.covers(request, since, client_path)) {
             return Some(if end.told.is_some() { Excuse::Cut } else { Excuse::Killed });
         }
-        let looks = !request.never_looks && way == Way::Direct;
-        (!looks && self.is_crowded(since + request.sent)).then_some(Excuse::CrowdedOut)
+        let checks_connection = !request.never_looks && client_path == Way::Direct;
+        (!checks_connection && self.is_crowded(since + request.sent)).then_some(Excuse::CrowdedOut)
     }
 
-    /// Whether there were more clients than places.
+    /// Whether there were more clients than connections for them.
     fn is_crowded(&self, at: Duration) -> bool {
-        let stands =
-            |crowd: &&Crowd| at >= crowd.from && crowd.until.is_none_or(|until| at <= until + CROWD_LINGERS);
-        let clients: usize = self.crowds.iter().filter(stands).map(|crowd| crowd.clients).sum();
-        let ending =
-            |end: &End| end.told.is_some_and(|told| at >= told + PLACES_FREE_WITHIN) && at <= end.killed;
-        clients > if self.ends.iter().any(ending) { PLACES_AT_THE_END } else { PLACES }
+        let is_present = |crowd: &&Crowd| {
+            at >= crowd.from && crowd.until.is_none_or(|until| at <= until + CROWD_LINGER_TIME)
+        };
+        let clients: usize = self.crowds.iter().filter(is_present).map(|crowd| crowd.clients).sum();
+        let is_shutting_down = |end: &End| {
+            end.told.is_some_and(|told| at >= told + SHUTDOWN_CONNECTIONS_FREED_AFTER) && at <= end.killed
+        };
+        let is_ending = self.ends.iter().any(is_shutting_down);
+        clients > if is_ending { MIN_CLIENT_CONNECTIONS_AT_SHUTDOWN } else { MIN_CLIENT_CONNECTIONS }
     }
 }
 
-/// A client's requests in figures.
+/// Counts of the requests of clients.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RequestAudit {
     pub requests: usize,
     pub refused: usize,
-    /// Under a kill without a word before.
+    /// Unanswered because of SIGKILL without SIGTERM.
     pub killed: usize,
-    /// On their way at a kill that SIGTERM preceded.
+    /// Pending at a SIGKILL that followed SIGTERM.
     pub cut: usize,
-    /// Of clients that did not look whether they had given up their place in a crowd.
+    /// Sent by clients that did not check whether their connection had been closed to make room in
+    /// a crowd.
     pub crowded_out: usize,
     pub unanswered: usize,
     pub late: usize,
-    /// The slowest answer, less the time for which the process stood still.
+    /// The slowest answer, less the time for which the process was stopped.
     pub slowest_ms: u64,
     #[serde(skip)]
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
 }
 
-/// Judges the requests at one assigner's address. `since` is when the clients were started.
+/// Audits the requests at one assigner's address. `since` is when the clients were started.
 pub fn judge(
     node: usize,
     requests: &[Request],
     since: Duration,
-    way: Way,
+    client_path: Way,
     excuses: &Excuses,
 ) -> RequestAudit {
     let mut audit = RequestAudit::default();
@@ -327,40 +360,40 @@
         let unanswered = audit.unanswered;
         let (from, until) = (since + request.sent, since + request.sent + request.took);
         if !request.ending.is_answer() {
-            let excused = match excuses.excuse(request, since, way) {
+            let count = match excuses.find_excuse(request, since, client_path) {
                 Some(Excuse::Killed) => &mut audit.killed,
                 Some(Excuse::Cut) => &mut audit.cut,
                 Some(Excuse::CrowdedOut) => &mut audit.crowded_out,
                 None => &mut audit.unanswered,
             };
-            *excused += 1;
+            *count += 1;
             if audit.unanswered > unanswered {
-                audit.break_rule(Rule::Unanswered, node, request, from);
+                audit.record_violation(Rule::Unanswered, node, request, from);
             }
             continue;
         }
         audit.refused += usize::from(request.ending == Ending::Refused);
-        let took = request.took.saturating_sub(excuses.stood_still(from, until));
+        let took = request.took.saturating_sub(excuses.time_stopped(from, until));
         audit.slowest_ms = audit.slowest_ms.max(took.as_millis() as u64);
-        if took > ANSWER_WITHIN {
+        if took > MAX_ANSWER_TIME {
             audit.late += 1;
-            audit.break_rule(Rule::Late, node, request, from);
+            audit.record_violation(Rule::Late, node, request, from);
         }
     }
     audit
 }
 
 impl RequestAudit {
-    fn break_rule(&mut self, rule: Rule, node: usize, request: &Request, at: Duration) {
+    fn record_violation(&mut self, rule: Rule, node: usize, request: &Request, at: Duration) {
         let Request { client, local, earlier, took, ending, .. } = request;
         let what = format!(
             "n{node}: client {client} at {local}, {earlier} requests before: {ending:?} after {} ms",
             took.as_millis()
         );
-        self.broken.push(Broken { rule, at_ms: at.as_millis() as u64, what });
+        self.violations.push(Violation { rule, at_ms: at.as_millis() as u64, what });
     }
 
-    /// Adds another's figures.
+    /// Adds the counts and violations of another audit.
     pub fn add(&mut self, other: RequestAudit) {
         self.requests += other.requests;
         self.refused += other.refused;
@@ -370,6 +403,6 @@
         self.unanswered += other.unanswered;
         self.late += other.late;
         self.slowest_ms = self.slowest_ms.max(other.slowest_ms);
-        self.broken.extend(other.broken);
+        self.violations.extend(other.violations);
     }
 }
--- a/crates/whinhill-standins/src/platform/channel.rs
+++ b/crates/whinhill-standins/src/platform/channel.rs
@@ -1,24 +1,24 @@
-//! The queue of an assigner's channel: lines come with its calls and leave at the channel's pace.
+//! The queue of an assigner's channel: calls add lines, which leave at the channel's rate.
 
 use std::time::Duration;
 
-use super::page::{LINES_PER_S, OVERHEAD_LINES};
+use super::parameters::{CHANNEL_LINES_PER_S, MESSAGE_OVERHEAD_LINES};
 
-/// Lines that wait.
+/// The queued lines of one channel.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Channel {
-    waiting: f64,
-    looked: Duration,
-    /// The most that have waited at a time.
-    pub most: f64,
+    queued: f64,
+    last_update: Duration,
+    /// The largest queue so far.
+    pub max_queued: f64,
 }
 
 impl Channel {
-    /// A call's orders make one message to each of so many proxies.
-    pub fn call(&mut self, now: Duration, proxies: usize, orders: usize) {
-        let left = LINES_PER_S * now.saturating_sub(self.looked).as_secs_f64();
-        self.looked = now;
-        self.waiting = (self.waiting - left).max(0.0) + (proxies * (OVERHEAD_LINES + orders)) as f64;
-        self.most = self.most.max(self.waiting);
+    /// Queues a call, whose orders become one message to each proxy.
+    pub fn enqueue_call(&mut self, now: Duration, proxies: usize, orders: usize) {
+        let sent = CHANNEL_LINES_PER_S * now.saturating_sub(self.last_update).as_secs_f64();
+        self.last_update = now;
+        self.queued = (self.queued - sent).max(0.0) + (proxies * (MESSAGE_OVERHEAD_LINES + orders)) as f64;
+        self.max_queued = self.max_queued.max(self.queued);
     }
 }
--- a/crates/whinhill-standins/src/platform/clients.rs
+++ b/crates/whinhill-standins/src/platform/clients.rs
@@ -1,7 +1,7 @@
-//! Clients of an assigner's address in a closed loop: each asks for a sign of life, waits for the answer, thinks, and
-//! asks again on the same connection for as long as that stays open. Some never look whether it does.
+//! Closed-loop clients of an assigner's address. Each sends a liveness probe, waits for the answer,
+//! thinks, and repeats on the same connection while that is open. Some never check whether it is.
 //!
-//! Every request is recorded with its ending, from the client's side of the socket alone.
+//! Every request is recorded with its outcome as seen at the client's side of the socket.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -15,42 +15,44 @@
 
 const PROBE: &[u8] = b"{\"@type\":\"probe\"}\n";
 const ALIVE: &[u8] = b"{\"@type\":\"alive\"}";
-/// The most that a client reads of one message: all that it can be sent are short.
-const MESSAGE_MOST: usize = 256;
-/// A connect to an address that drops packets would take minutes to fail.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
-/// A client whose connect failed tries again after this, so that a crowd does not keep a processor busy.
-const RECONNECT_AFTER: Duration = Duration::from_millis(10);
-/// A client thread reads and writes one short message at a time.
-const STACK: usize = 128 << 10;
+/// The longest message that a client reads; all valid messages are short.
+const MAX_MESSAGE_LEN: usize = 256;
+/// Without this limit a connect to an address that drops packets would take minutes to fail.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a client reconnects after a failed connect, so that a crowd does not keep a
+/// processor busy.
+const RECONNECT_DELAY: Duration = Duration::from_millis(10);
+/// Stack size of a client thread, which handles one short message at a time.
+const STACK_SIZE: usize = 128 << 10;
 
-/// What the clients do.
+/// How many clients there are and how they behave.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub clients: usize,
-    /// The first so many never look whether the other side has ended the connection before they ask on it.
+    /// The first `never_look` clients never check whether the peer has closed the connection before
+    /// they send a request.
     pub never_look: usize,
-    /// The last so many end their side of the connection after each request.
+    /// The last `half_close` clients close their side of the connection after each request.
     pub half_close: usize,
-    /// Each thinks for a time drawn evenly from zero to this before it asks.
+    /// Before each request a client waits for a time drawn uniformly from zero to this.
     pub think_most: Duration,
-    /// An answer that takes longer counts as none.
+    /// A request without an answer within this time counts as unanswered.
     pub answer_within: Duration,
     pub seed: u64,
 }
 
-/// How a request ended, as its client saw it.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The answer that was asked for.
+    /// The expected answer came.
     Answered,
-    /// Another message: the assigner refuses the client.
+    /// Another message came: the assigner refused the client.
     Refused,
-    /// The connection ended in order, and without an answer.
+    /// The peer closed the connection without an answer.
     EndOfStream,
     /// The connection broke.
     Reset,
-    /// Nothing came within the plan's time.
+    /// Nothing came within [`Plan::answer_within`].
     Silent,
 }
 
@@ -65,16 +67,16 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     pub client: usize,
-    /// The client's end of the connection: the assigner's log names it.
+    /// The client's end of the connection, as the assigner's log names it.
     pub local: SocketAddr,
     /// How many requests the connection had carried before.
     pub earlier: u32,
-    /// Since the clients were started: when the connection was there, and when the request was sent.
+    /// When the connection was open and when the request was sent, since the start of the clients.
     pub opened: Duration,
     pub sent: Duration,
-    /// When the system had taken all of it, or had refused to.
+    /// When the system had accepted all of the request or had refused it.
     pub written: Duration,
-    /// The client never looks for the other side's end.
+    /// The client never checks whether the peer has closed the connection.
     pub never_looks: bool,
     pub took: Duration,
     pub ending: Ending,
@@ -82,14 +84,14 @@
 
 /// Clients that run until they are stopped.
 pub struct Clients {
-    /// The times of requests count from then.
+    /// The times of requests are relative to this.
     pub started: Instant,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<Request>>>,
 }
 
 impl Clients {
-    /// Starts the clients of a plan. Fails where a thread cannot be started.
+    /// Starts the clients of a plan. Fails if a thread cannot be started.
     pub fn start(addr: SocketAddr, plan: Plan) -> io::Result<Self> {
         let started = Instant::now();
         let mut clients = Clients { started, stop: Arc::default(), threads: Vec::new() };
@@ -103,23 +105,24 @@
                 random: ChaCha8Rng::seed_from_u64(plan.seed ^ (number as u64) << 32),
                 requests: Vec::new(),
             };
-            let builder = thread::Builder::new().name("client".into()).stack_size(STACK);
+            let builder = thread::Builder::new().name("client".into()).stack_size(STACK_SIZE);
             clients.threads.push(builder.spawn(move || client.run())?);
         }
         Ok(clients)
     }
 
-    /// Has each client end after the request that it waits for.
+    /// Tells each client to end after its pending request.
     pub fn finish(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Whether all have ended.
+    /// Whether all clients have ended.
     pub fn is_finished(&self) -> bool {
         self.threads.iter().all(JoinHandle::is_finished)
     }
 
-    /// Has them end, waits for that, and returns all requests in the order in which they were sent.
+    /// Stops the clients, waits for them and returns all requests in the order in which they were
+    /// sent.
     pub fn stop(mut self) -> Vec<Request> {
         self.finish();
         let joined = self.threads.drain(..).flat_map(|thread| thread.join().unwrap_or_default());
@@ -135,7 +138,7 @@
     }
 }
 
-/// Requests in figures.
+/// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub requests: usize,
@@ -145,7 +148,7 @@
 }
 
 impl Tally {
-    /// Counts requests by their endings; the slowest is that of the answers.
+    /// Counts requests by their endings; `slowest` considers only answered ones.
     pub fn of(requests: &[Request]) -> Self {
         let count = |wanted: fn(Ending) -> bool| requests.iter().filter(|r| wanted(r.ending)).count();
         let answered = requests.iter().filter(|r| r.ending.is_answer());
@@ -158,6 +161,7 @@
     }
 }
 
+/// One client thread.
 struct Client {
     number: usize,
     addr: SocketAddr,
@@ -170,16 +174,16 @@
 
 impl Client {
     fn run(mut self) -> Vec<Request> {
-        while !self.stopped() {
-            match TcpStream::connect_timeout(&self.addr, CONNECT_WITHIN) {
+        while !self.is_stopped() {
+            match TcpStream::connect_timeout(&self.addr, CONNECT_TIMEOUT) {
                 Ok(stream) => drop(self.use_connection(stream)),
-                Err(_) => thread::sleep(RECONNECT_AFTER),
+                Err(_) => thread::sleep(RECONNECT_DELAY),
             }
         }
         self.requests
     }
 
-    fn stopped(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
@@ -191,7 +195,7 @@
         self.number + self.plan.half_close >= self.plan.clients
     }
 
-    /// Asks on one connection until that ends, or the clients are stopped.
+    /// Sends requests on one connection until that ends or the clients are stopped.
     fn use_connection(&mut self, mut stream: TcpStream) -> io::Result<()> {
         let (local, opened) = (stream.local_addr()?, self.started.elapsed());
         stream.set_nodelay(true)?;
@@ -199,20 +203,20 @@
         for earlier in 0.. {
             let think = self.random.random_range(Duration::ZERO..=self.plan.think_most);
             thread::sleep(think);
-            if self.stopped() || !self.never_looks() && !is_quiet(&stream)? {
+            if self.is_stopped() || !self.never_looks() && !is_open_and_idle(&stream)? {
                 break;
             }
             let sent = self.started.elapsed();
-            let mut asked = stream.write_all(PROBE);
-            if asked.is_ok() && self.half_closes() {
-                asked = stream.shutdown(Shutdown::Write);
+            let mut send_result = stream.write_all(PROBE);
+            if send_result.is_ok() && self.half_closes() {
+                send_result = stream.shutdown(Shutdown::Write);
             }
             let written = self.started.elapsed();
-            let ending = match asked {
+            let ending = match send_result {
                 Ok(()) => read_ending(&mut stream),
-                // It had no other way to learn that the connection is gone.
+                // The client had no other way to learn that the connection was gone.
                 Err(_) if self.never_looks() => Ending::Reset,
-                // What could not be sent was never asked.
+                // A request that could not be sent does not count.
                 Err(error) => return Err(error),
             };
             let (client, never_looks) = (self.number, self.never_looks());
@@ -228,18 +232,18 @@
     }
 }
 
-/// Whether the other side has neither ended the connection nor sent anything unasked.
-fn is_quiet(stream: &TcpStream) -> io::Result<bool> {
+/// Whether the peer has neither closed the connection nor sent unsolicited data.
+fn is_open_and_idle(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
     let peeked = stream.peek(&mut [0]);
     stream.set_nonblocking(false)?;
     Ok(matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock))
 }
 
-/// Reads one message and tells what it is.
+/// Reads one message and classifies it.
 fn read_ending(stream: &mut TcpStream) -> Ending {
     let (mut message, mut byte) = (Vec::new(), [0]);
-    while message.len() < MESSAGE_MOST {
+    while message.len() < MAX_MESSAGE_LEN {
         match stream.read(&mut byte) {
             Ok(0) => return Ending::EndOfStream,
             Ok(_) if byte[0] == b'\n' => break,
--- a/crates/whinhill-standins/src/platform/collectors.rs
+++ b/crates/whinhill-standins/src/platform/collectors.rs
@@ -1,30 +1,31 @@
-//! The zones' collectors: each tells an assigner what the proxies of its zone met, once a period.
+//! The collectors of the zones: each reports to an assigner, once a period, what the proxies of its
+//! zone experienced.
 
 use std::fmt::Write as _;
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use super::page::{CLASSES, PERIOD, ZONES};
-use super::traffic::Sums;
-use super::world::World;
+use super::parameters::{CLASSES, REPORT_PERIOD, ZONES};
+use super::state::PlatformState;
+use super::traffic::ReportSums;
 
-/// A collector whose assigner is away tries again with its next report.
-const CONNECT_WITHIN: Duration = Duration::from_millis(200);
+/// A collector that cannot connect in this time tries again with its next report.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// One assigner's collectors.
+/// The collectors' connections to one assigner.
 pub struct Collectors {
     addr: SocketAddr,
     streams: Vec<Option<TcpStream>>,
 }
 
 impl Collectors {
-    /// Connects with the first reports.
+    /// Creates collectors that connect with their first reports.
     pub fn new(addr: SocketAddr) -> Self {
         Collectors { addr, streams: ZONES.iter().map(|_| None).collect() }
     }
 
-    /// Sends what was met since the last report; what cannot be sent is lost.
+    /// Sends one report text for each zone; those that cannot be sent are lost.
     pub fn send(&mut self, texts: &[String]) {
         for (zone, text) in texts.iter().enumerate() {
             if self.send_zone(zone, text).is_err() {
@@ -37,9 +38,9 @@
         let stream = match &mut self.streams[zone] {
             Some(stream) => stream,
             none => {
-                let mut stream = TcpStream::connect_timeout(&self.addr, CONNECT_WITHIN)?;
+                let mut stream = TcpStream::connect_timeout(&self.addr, CONNECT_TIMEOUT)?;
                 stream.set_nodelay(true)?;
-                stream.set_write_timeout(Some(CONNECT_WITHIN))?;
+                stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
                 writeln!(stream, r#"{{"@type":"agent","site":"{}"}}"#, ZONES[zone])?;
                 none.insert(stream)
             }
@@ -48,24 +49,25 @@
     }
 }
 
-/// The reports of each zone's collector; what came for slices goes through the first.
-pub fn reports(world: &World, sums: &Sums) -> Vec<String> {
-    let over = PERIOD.as_millis();
+/// Formats the reports of each zone's collector. The demand of slices goes through the first
+/// collector.
+pub fn format_reports(platform: &PlatformState, sums: &ReportSums) -> Vec<String> {
+    let interval_ms = REPORT_PERIOD.as_millis();
     let mut texts = vec![String::new(); ZONES.len()];
-    for ((zone, server), met) in &sums.met {
-        let good = met.count - met.fail;
-        let mean = if good > 0 { met.sum_ms / good as f64 } else { 0.0 };
-        let (site, target) = (ZONES[*zone], &world.servers[*server].name);
+    for ((zone, server), outcomes) in &sums.outcomes {
+        let good = outcomes.count - outcomes.fail;
+        let mean = if good > 0 { outcomes.sum_ms / good as f64 } else { 0.0 };
+        let (site, target) = (ZONES[*zone], &platform.servers[*server].name);
         let _ = writeln!(
             texts[*zone],
-            r#"{{"@type":"outcomes","site":"{site}","target":"{target}","count":{},"fail":{},"mean":{mean:.1},"over":{over}.0}}"#,
-            met.count, met.fail
+            r#"{{"@type":"outcomes","site":"{site}","target":"{target}","count":{},"fail":{},"mean":{mean:.1},"over":{interval_ms}.0}}"#,
+            outcomes.count, outcomes.fail
         );
     }
     for ((slice, class), demand) in &sums.demand {
         let _ = writeln!(
             texts[0],
-            r#"{{"@type":"hot","range":{slice},"lane":"{}","count":{},"fail":{},"over":{over}.0}}"#,
+            r#"{{"@type":"hot","range":{slice},"lane":"{}","count":{},"fail":{},"over":{interval_ms}.0}}"#,
             CLASSES[*class].name, demand.count, demand.fail
         );
     }
--- a/crates/whinhill-standins/src/platform/discovery.rs
+++ b/crates/whinhill-standins/src/platform/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the list of servers, whole and as a watch on changes, at one address for each assigner.
+//! Discovery: serves the list of servers, in full and as a watch on changes, at one address for
+//! each assigner.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,104 +7,104 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::page::{WATCH_SIGN_EVERY, ZONES};
-use super::world::{Shared, World};
+use super::parameters::{DISCOVERY_KEEPALIVE_INTERVAL, ZONES};
+use super::state::{PlatformState, SharedState};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// How often a watch looks for changes.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-const STACK: usize = 256 << 10;
+/// How often a watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const STACK_SIZE: usize = 256 << 10;
 
-/// Starts discovery's address for one assigner.
-pub fn start(world: Arc<Shared>, node: usize) -> io::Result<SocketAddr> {
+/// Starts the discovery address of one assigner.
+pub fn start(platform: Arc<SharedState>, node: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let addr = listener.local_addr()?;
-    thread::Builder::new().name("discovery".into()).stack_size(STACK).spawn(move || {
+    thread::Builder::new().name("discovery".into()).stack_size(STACK_SIZE).spawn(move || {
         for stream in listener.incoming().flatten() {
-            let world = world.clone();
-            let served = thread::Builder::new().name("discovery-stream".into()).stack_size(STACK);
-            let _ = served.spawn(move || drop(serve(&world, node, stream)));
+            let platform = platform.clone();
+            let served = thread::Builder::new().name("discovery-stream".into()).stack_size(STACK_SIZE);
+            let _ = served.spawn(move || drop(serve(&platform, node, stream)));
         }
     })?;
     Ok(addr)
 }
 
-fn serve(world: &Shared, node: usize, mut stream: TcpStream) -> io::Result<()> {
+fn serve(platform: &SharedState, node: usize, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut request = String::new();
     BufReader::new(stream.try_clone()?).read_line(&mut request)?;
     let since = request.split("since=").nth(1).and_then(|rest| rest.split([' ', '&']).next()?.parse().ok());
     let watch = request.contains("follow=1");
-    let (version, list) = list_after(&world.lock(), node, since.filter(|_| watch));
+    let (version, list) = list_since(&platform.lock(), node, since.filter(|_| watch));
     stream.write_all(format!("{HEAD}{}", chunk(&list)).as_bytes())?;
-    note_told(world, node, version);
+    record_published(platform, node, version);
     if !watch {
         return stream.write_all(b"0\r\n\r\n");
     }
-    follow(world, node, stream, version)
+    follow(platform, node, stream, version)
 }
 
-fn follow(world: &Shared, node: usize, mut stream: TcpStream, mut version: u64) -> io::Result<()> {
-    let mut sign = Instant::now() + WATCH_SIGN_EVERY;
+fn follow(platform: &SharedState, node: usize, mut stream: TcpStream, mut version: u64) -> io::Result<()> {
+    let mut next_keepalive = Instant::now() + DISCOVERY_KEEPALIVE_INTERVAL;
     loop {
-        thread::sleep(LOOK_EVERY);
-        let (newest, list) = list_after(&world.lock(), node, Some(version));
+        thread::sleep(POLL_INTERVAL);
+        let (newest, list) = list_since(&platform.lock(), node, Some(version));
         if newest > version {
-            // What is written after the end reaches nobody, though the first such write succeeds.
-            if has_ended(&stream)? {
+            // The first write after the peer has closed succeeds but reaches nobody.
+            if is_closed_by_peer(&stream)? {
                 return Ok(());
             }
             stream.write_all(chunk(&list).as_bytes())?;
             version = newest;
-            note_told(world, node, version);
-        } else if Instant::now() >= sign {
+            record_published(platform, node, version);
+        } else if Instant::now() >= next_keepalive {
             stream.write_all(chunk("").as_bytes())?;
         } else {
             continue;
         }
-        sign = Instant::now() + WATCH_SIGN_EVERY;
+        next_keepalive = Instant::now() + DISCOVERY_KEEPALIVE_INTERVAL;
     }
 }
 
-fn has_ended(stream: &TcpStream) -> io::Result<bool> {
+fn is_closed_by_peer(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
     let peeked = stream.peek(&mut [0]);
     stream.set_nonblocking(false)?;
     Ok(!matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock))
 }
 
-fn note_told(world: &Shared, node: usize, version: u64) {
-    let mut world = world.lock();
-    let arrives = world.now().max(world.nodes[node].lists_held_until);
-    world.nodes[node].told.push((version, arrives));
+fn record_published(platform: &SharedState, node: usize, version: u64) {
+    let mut platform = platform.lock();
+    let arrives_at = platform.now().max(platform.nodes[node].lists_held_until);
+    platform.nodes[node].lists_published.push((version, arrives_at));
 }
 
-/// The changes after a version that an assigner may know of by now, or the whole list.
-fn list_after(world: &World, node: usize, since: Option<u64>) -> (u64, String) {
-    let known = world.now().saturating_sub(world.nodes[node].list_delay);
-    let visible = |change: &&super::world::Change| change.at <= known;
-    let version = world.changes.iter().filter(visible).map(|change| change.version).max().unwrap_or(1);
-    let whole = since.is_none_or(|since| since == 0 || since > version);
+/// The changes after `since` that an assigner may see by now, or the full list.
+fn list_since(platform: &PlatformState, node: usize, since: Option<u64>) -> (u64, String) {
+    let known = platform.now().saturating_sub(platform.nodes[node].list_delay);
+    let visible = |change: &&super::state::ListChange| change.at <= known;
+    let version = platform.changes.iter().filter(visible).map(|change| change.version).max().unwrap_or(1);
+    let is_full = since.is_none_or(|since| since == 0 || since > version);
     let mut entries = Vec::new();
-    for (number, server) in world.servers.iter().enumerate() {
-        let changed = |change: &super::world::Change| {
+    for (number, server) in platform.servers.iter().enumerate() {
+        let changed = |change: &super::state::ListChange| {
             change.server == number && change.version > since.unwrap_or(0) && change.version <= version
         };
-        let wanted = world.changes.iter().any(changed);
-        if wanted && !(whole && server.status == super::world::Status::Gone) {
+        let wanted = platform.changes.iter().any(changed);
+        if wanted && !(is_full && server.status == super::state::Status::Gone) {
             entries.push(serde_json::json!({
                 "name": server.name, "address": server.addr.to_string(), "zone": ZONES[server.zone], "type": "m",
-                "group": 0, "status": server.status.word(), "weight": 1.0, "since_ms": server.started_unix_ms,
+                "group": 0, "status": server.status.wire_name(), "weight": 1.0, "since_ms": server.started_unix_ms,
             }));
         }
     }
-    let list = serde_json::json!({"index": version, "snapshot": whole, "endpoints": entries});
+    let list = serde_json::json!({"index": version, "snapshot": is_full, "endpoints": entries});
     (version, list.to_string())
 }
 
-/// The list in discovery's form, as an assigner last had it.
-pub fn whole_list(world: &World) -> serde_json::Value {
-    serde_json::from_str(&list_after(world, 0, None).1).unwrap_or_default()
+/// The full list in discovery's format, as an assigner last had it.
+pub fn full_list(platform: &PlatformState) -> serde_json::Value {
+    serde_json::from_str(&list_since(platform, 0, None).1).unwrap_or_default()
 }
 
 fn chunk(line: &str) -> String {
--- a/crates/whinhill-standins/src/platform/fleet.rs
+++ b/crates/whinhill-standins/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! What happens to the servers: they are replaced, fall ill, vanish and return, as the script has it.
+//! Replaces, impairs, removes and restores servers as the script says.
 
 use std::io;
 use std::net::TcpListener;
@@ -9,92 +9,92 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::plane::PLANES;
+use super::data_plane::PLANE_COUNT;
 use super::script::Action;
 use super::servers;
-use super::world::{Condition, Server, Shared, Status};
+use super::state::{Condition, Server, SharedState, Status};
 
-/// From draining to gone.
-const DRAIN_LASTS: Duration = Duration::from_millis(4500);
+/// Time from draining to deletion.
+const DRAIN_DURATION: Duration = Duration::from_millis(4500);
 
-/// What becomes of a server later.
+/// A change of a server that is scheduled for later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Change {
-    /// It starts anew, unless it drains meanwhile.
+enum PendingChange {
+    /// The server restarts, unless it is draining by then.
     Restart,
-    Mend,
-    Go,
-    /// It is back on the list, and cold.
+    Recover,
+    Remove,
+    /// The server is listed again and is cold.
     Return,
 }
 
-/// The servers.
+/// The servers and their scheduled changes.
 pub struct Fleet {
-    world: Arc<Shared>,
+    platform: Arc<SharedState>,
     random: ChaCha8Rng,
-    changes: Vec<(Duration, usize, Change)>,
-    usual_load_at: Option<Duration>,
+    changes: Vec<(Duration, usize, PendingChange)>,
+    load_reset_at: Option<Duration>,
 }
 
 impl Fleet {
-    /// None yet.
-    pub fn new(world: Arc<Shared>, seed: u64) -> Self {
+    /// Creates a fleet without servers.
+    pub fn new(platform: Arc<SharedState>, seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed ^ 0x50a4);
-        Fleet { world, random, changes: Vec::new(), usual_load_at: None }
+        Fleet { platform, random, changes: Vec::new(), load_reset_at: None }
     }
 
-    /// Starts a server; `old`: it has served for long.
-    pub fn add(&mut self, zone: usize, old: bool) -> io::Result<()> {
+    /// Starts a server. With `long_running` it counts as started long ago, so it is warm.
+    pub fn add(&mut self, zone: usize, long_running: bool) -> io::Result<()> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
         let name = format!("s-{:08x}", self.random.random::<u32>());
-        let place = self.world.lock().add_server(name, zone, addr, old);
-        servers::start(self.world.clone(), listener, place).map(drop)
+        let index = self.platform.lock().add_server(name, zone, addr, long_running);
+        servers::start(self.platform.clone(), listener, index).map(drop)
     }
 
-    /// The server that has been ready for longest drains, and a new one takes its place.
+    /// Drains the server that has been ready for longest and starts a new one.
     pub fn replace(&mut self, now: Duration) -> io::Result<()> {
         let Some(server) = self.ready().first().copied() else { return Ok(()) };
         self.replace_one(now, server)
     }
 
     fn replace_one(&mut self, now: Duration, server: usize) -> io::Result<()> {
-        let zone = self.world.lock().servers[server].zone;
-        self.world.lock().list(server, Status::Draining);
-        self.changes.push((now + DRAIN_LASTS, server, Change::Go));
+        let zone = self.platform.lock().servers[server].zone;
+        self.platform.lock().set_status(server, Status::Draining);
+        self.changes.push((now + DRAIN_DURATION, server, PendingChange::Remove));
         self.add(zone, false)
     }
 
-    /// Something happens to some of them.
-    pub fn act(&mut self, now: Duration, action: &Action) -> io::Result<()> {
+    /// Applies an action of the script that affects servers.
+    pub fn apply(&mut self, now: Duration, action: &Action) -> io::Result<()> {
         match *action {
             Action::Silence { share, time } => {
-                self.fall_ill(share, Condition::Silent, now + time, Change::Restart);
+                self.impair(share, Condition::Silent, now + time, PendingChange::Restart);
             }
             Action::Slow { times, time } => {
                 let drawn = self.draw(1);
-                self.set(&drawn, Condition::Slow(times), now + time, Change::Mend);
+                self.set(&drawn, Condition::Slow(times), now + time, PendingChange::Recover);
             }
             Action::Ill { condition, share, time } => {
-                self.fall_ill(share, condition, now + time, Change::Mend);
+                self.impair(share, condition, now + time, PendingChange::Recover);
             }
             Action::SilentZone { zone, time } => {
                 let ready = self.ready();
-                let here = |server: &usize| self.world.lock().servers[*server].zone == zone;
+                let here = |server: &usize| self.platform.lock().servers[*server].zone == zone;
                 let servers: Vec<usize> = ready.into_iter().filter(here).collect();
-                self.set(&servers, Condition::Silent, now + time, Change::Mend);
+                self.set(&servers, Condition::Silent, now + time, PendingChange::Recover);
             }
-            Action::Backlog { share, by } => self.back_up(now, share, by),
+            Action::Backlog { share, by } => self.add_backlog(now, share, by),
             Action::Vanish { share, time } => {
                 let count = self.count(share);
                 let drawn = self.draw(count);
-                self.set(&drawn, Condition::Dead, now + time, Change::Return);
-                let mut world = self.world.lock();
-                drawn.iter().for_each(|server| world.list(*server, Status::Gone));
+                self.set(&drawn, Condition::Dead, now + time, PendingChange::Return);
+                let mut platform = self.platform.lock();
+                drawn.iter().for_each(|server| platform.set_status(*server, Status::Gone));
             }
             Action::Release { share, rate_times, time } => {
-                self.world.lock().rate_times = rate_times;
-                self.usual_load_at = Some(now + time);
+                self.platform.lock().load_factor = rate_times;
+                self.load_reset_at = Some(now + time);
                 let count = self.count(share);
                 for server in self.draw(count) {
                     self.replace_one(now, server)?;
@@ -105,47 +105,47 @@
         Ok(())
     }
 
-    fn fall_ill(&mut self, share: f64, condition: Condition, until: Duration, then: Change) {
+    fn impair(&mut self, share: f64, condition: Condition, until: Duration, then: PendingChange) {
         let count = self.count(share);
         let drawn = self.draw(count);
         self.set(&drawn, condition, until, then);
     }
 
-    fn set(&mut self, servers: &[usize], condition: Condition, until: Duration, then: Change) {
-        let mut world = self.world.lock();
+    fn set(&mut self, servers: &[usize], condition: Condition, until: Duration, then: PendingChange) {
+        let mut platform = self.platform.lock();
         for server in servers {
-            world.set_condition(*server, condition);
+            platform.set_condition(*server, condition);
             self.changes.push((until, *server, then));
         }
     }
 
-    /// Work that others sent stands before all workers.
-    fn back_up(&mut self, now: Duration, share: f64, by: Duration) {
+    /// Adds work of other senders before all workers of some servers.
+    fn add_backlog(&mut self, now: Duration, share: f64, by: Duration) {
         let count = self.count(share);
         let drawn = self.draw(count);
-        let mut world = self.world.lock();
+        let mut platform = self.platform.lock();
         for server in drawn {
-            for plane in 0..PLANES {
-                let workers = &mut world.servers[server].workers[plane];
+            for plane in 0..PLANE_COUNT {
+                let workers = &mut platform.servers[server].workers[plane];
                 workers.iter_mut().for_each(|free| *free = (*free).max(now) + by);
             }
         }
     }
 
-    /// Does what is due.
-    pub fn look(&mut self, now: Duration) {
-        let mut world = self.world.lock();
-        if self.usual_load_at.take_if(|at| *at <= now).is_some() {
-            world.rate_times = 1.0;
+    /// Applies the scheduled changes that are due.
+    pub fn apply_due(&mut self, now: Duration) {
+        let mut platform = self.platform.lock();
+        if self.load_reset_at.take_if(|at| *at <= now).is_some() {
+            platform.load_factor = 1.0;
         }
         for (_, server, change) in self.changes.extract_if(.., |(at, _, _)| *at <= now) {
             match change {
-                Change::Restart if world.servers[server].status != Status::Ready => {}
-                Change::Restart | Change::Return => world.restart_server(server),
-                Change::Mend => world.set_condition(server, Condition::Well),
-                Change::Go => {
-                    world.set_condition(server, Condition::Dead);
-                    world.list(server, Status::Gone);
+                PendingChange::Restart if platform.servers[server].status != Status::Ready => {}
+                PendingChange::Restart | PendingChange::Return => platform.restart_server(server),
+                PendingChange::Recover => platform.set_condition(server, Condition::Well),
+                PendingChange::Remove => {
+                    platform.set_condition(server, Condition::Dead);
+                    platform.set_status(server, Status::Gone);
                 }
             }
         }
@@ -156,9 +156,9 @@
     }
 
     fn ready(&self) -> Vec<usize> {
-        let world = self.world.lock();
+        let platform = self.platform.lock();
         let ready = |server: &Server| server.status == Status::Ready && server.condition == Condition::Well;
-        (0..world.servers.len()).filter(|place| ready(&world.servers[*place])).collect()
+        (0..platform.servers.len()).filter(|index| ready(&platform.servers[*index])).collect()
     }
 
     fn draw(&mut self, count: usize) -> Vec<usize> {
--- a/crates/whinhill-standins/src/platform/node.rs
+++ b/crates/whinhill-standins/src/platform/node.rs
@@ -1,4 +1,5 @@
-//! One assigner of the soak: its process, the paths to relay and discovery, its collectors and its clients.
+//! One assigner of the soak with its process, its paths to relay and discovery, its collectors and
+//! its clients.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,44 +11,46 @@
 
 use rustix::process::Signal;
 
-use super::audit::{judge, Broken, Crowd, End, Excuses, RequestAudit, Rule, Way};
+use super::audit::{judge, Crowd, End, Excuses, RequestAudit, Rule, Violation, Way};
 use super::clients::{Clients, Plan};
 use super::collectors::Collectors;
-use super::page::*;
-use super::process::{Process, Start};
+use super::parameters::*;
+use super::process::{Process, StartOptions};
 use super::sabotage::Sabotage;
 use super::script::{Action, Path, Script};
-use super::world::Shared;
+use super::state::SharedState;
 use super::{discovery, relay};
 use crate::link::{Direction, Link};
 
-/// Clients that ask all the time. One in three clients never looks whether its connection still stands.
-const CLIENTS: usize = 12;
-const NEVER_LOOKS_ONE_IN: usize = 3;
-/// Clients by a proxy of bytes; half of them end their side after each request.
-const CLIENTS_BY_PROXY: usize = 8;
-/// Pieces of the streams to the relay are so many times longer than those of clients: it answers in time.
-const RELAY_PIECES: usize = 8;
-const THINK_MOST: Duration = Duration::from_millis(50);
-/// Between the signals of a series.
-const BETWEEN_SIGNALS: Duration = Duration::from_millis(2);
-/// SIGHUP never comes within a process's first second (page of the days that count).
-const RELOAD_FROM: Duration = Duration::from_secs(1);
-/// A process that ended by itself is started again after this.
-const RESTART_AFTER: Duration = Duration::from_millis(100);
-/// No answer by then is a failed start (standing test, "The gate").
-const START_WITHIN: Duration = Duration::from_secs(30);
-/// Reports that wait for a collector that is away.
-const REPORTS_WAITING: usize = 4;
+/// Clients that run all the time. One in three never checks whether its connection is still open.
+const CLIENT_COUNT: usize = 12;
+const NEVER_LOOK_DIVISOR: usize = 3;
+/// Clients through a byte proxy; half of them close their side after each request.
+const BYTE_PROXY_CLIENTS: usize = 8;
+/// The streams to the relay are cut into pieces that are longer than those of clients by this
+/// factor, so that the relay answers in time.
+const RELAY_PIECE_FACTOR: usize = 8;
+const MAX_THINK_TIME: Duration = Duration::from_millis(50);
+/// Time between the signals of a series.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(2);
+/// SIGHUP never comes in the first second of a process (operators' page on scored runs).
+const MIN_UPTIME: Duration = Duration::from_secs(1);
+/// Delay before a process that ended by itself is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
+/// A process without an answer by then has failed to start (standing test, "The gate").
+const MAX_START_TIME: Duration = Duration::from_secs(30);
+/// How many sets of reports may be queued for a collector that cannot deliver them.
+const REPORT_QUEUE_LENGTH: usize = 4;
 const PORT: u16 = 8081;
-/// Delay each way, and bytes until a break, of sabotaged answers.
+/// Sabotaged answers: delay in each direction, bytes until the connection breaks, and time between
+/// breaks.
 const SABOTAGED_DELAY: Duration = Duration::from_millis(700);
 const SABOTAGED_BYTES: u64 = 100;
-const SABOTAGE_EVERY: Duration = Duration::from_millis(500);
+const SABOTAGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a node needs of what surrounds it.
+/// The environment that a node runs in.
 pub struct Environment {
-    pub world: Arc<Shared>,
+    pub platform: Arc<SharedState>,
     pub program: PathBuf,
     pub library: Option<PathBuf>,
     pub folder: PathBuf,
@@ -55,56 +58,60 @@
     pub seed: u64,
 }
 
+/// The links through which the process reaches the relay and discovery.
 struct Paths {
     relay: Link,
     discovery: Link,
 }
 
-struct Asking {
+/// Clients that were started together; `until` is when they are told to stop.
+struct ClientGroup {
     until: Option<Duration>,
     clients: Clients,
-    /// Where the clients come by a proxy of bytes.
+    /// The byte proxy through which the clients connect, if any.
     proxy: Option<Link>,
-    /// Its place among the crowds that excuse.
+    /// The index of this group in [`Excuses::crowds`].
     crowd: usize,
 }
 
-/// A path that is mended again.
-struct Mend {
+/// When a troubled path is restored.
+struct PathRepair {
     at: Duration,
     path: Path,
 }
 
-/// One assigner.
+/// One assigner and its surroundings.
 pub struct Node {
     number: usize,
     environment: Environment,
-    start: Start,
+    start: StartOptions,
     config: PathBuf,
     log: PathBuf,
     relay: SocketAddr,
     discovery: SocketAddr,
     paths: Paths,
-    /// Former addresses, and when they close.
-    former: Vec<(Duration, Paths)>,
+    /// Paths of former addresses, and when they close.
+    former_paths: Vec<(Duration, Paths)>,
     process: Option<Process>,
     started_at: Duration,
-    /// When it is to be killed, continued and started again.
+    /// When the process is to be killed.
     kill_at: Option<Duration>,
-    /// When SIGTERM was first sent to it.
-    told_at: Option<Duration>,
+    /// When SIGTERM was first sent to the process.
+    term_sent_at: Option<Duration>,
+    /// From SIGSTOP to the planned SIGCONT.
     paused: Option<(Duration, Duration)>,
     restart_at: Option<Duration>,
+    /// How long the process stays down after the pending kill.
     down: Duration,
-    mends: Vec<Mend>,
+    repairs: Vec<PathRepair>,
     lists_on_time_at: Option<Duration>,
     reports: SyncSender<Vec<String>>,
-    asking: Vec<Asking>,
-    /// The clients' way, where that is sabotaged.
-    sabotaged: Option<Link>,
+    client_groups: Vec<ClientGroup>,
+    /// The link through which clients connect if their answers are sabotaged.
+    sabotaged_link: Option<Link>,
     sabotage_at: Duration,
     excuses: Excuses,
-    judged: RequestAudit,
+    request_audit: RequestAudit,
     over_limits: bool,
     pub starts: usize,
     pub ready: Vec<Duration>,
@@ -117,31 +124,31 @@
 }
 
 impl Node {
-    /// Starts the assigner, its surroundings and the clients that ask all the time.
+    /// Starts the assigner, its surroundings and the clients that run all the time.
     pub fn start(number: usize, environment: Environment, script: &Script) -> io::Result<Self> {
-        let world = environment.world.clone();
-        let relay = relay::start(world.clone(), number)?;
-        let discovery = discovery::start(world.clone(), number)?;
+        let platform = environment.platform.clone();
+        let relay = relay::start(platform.clone(), number)?;
+        let discovery = discovery::start(platform.clone(), number)?;
         let paths = Paths { relay: link(relay)?, discovery: link(discovery)? };
-        // An address that no other process of this machine is given by chance.
+        // An address that no other process on this machine is likely to use.
         let unique = std::process::id() % 250 + 1;
         let last = (environment.seed % 250 + 1) as u8;
         let addr =
             SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 100 + number as u8, unique as u8, last)), PORT);
-        let start = Start {
+        let start = StartOptions {
             name: format!("n{number}"),
             addr,
             discovery: paths.discovery.addr(),
             relay: paths.relay.addr(),
-            known: discovery::whole_list(&world.lock()),
+            known_list: discovery::full_list(&platform.lock()),
             proxies: script.proxies,
             faults: None,
         };
-        let (reports, waiting) = sync_channel::<Vec<String>>(REPORTS_WAITING);
+        let (reports, queued_reports) = sync_channel::<Vec<String>>(REPORT_QUEUE_LENGTH);
         let mut collectors = Collectors::new(addr);
         thread::Builder::new()
             .name("collectors".into())
-            .spawn(move || waiting.iter().for_each(|texts| collectors.send(&texts)))?;
+            .spawn(move || queued_reports.iter().for_each(|texts| collectors.send(&texts)))?;
         let folder = environment.folder.clone();
         let mut node = Node {
             number,
@@ -152,22 +159,22 @@
             relay,
             discovery,
             paths,
-            former: Vec::new(),
+            former_paths: Vec::new(),
             process: None,
             started_at: Duration::ZERO,
             kill_at: None,
-            told_at: None,
+            term_sent_at: None,
             paused: None,
             restart_at: None,
             down: Duration::ZERO,
-            mends: Vec::new(),
+            repairs: Vec::new(),
             lists_on_time_at: None,
             reports,
-            asking: Vec::new(),
-            sabotaged: None,
+            client_groups: Vec::new(),
+            sabotaged_link: None,
             sabotage_at: Duration::ZERO,
             excuses: Excuses::default(),
-            judged: RequestAudit::default(),
+            request_audit: RequestAudit::default(),
             over_limits: false,
             starts: 0,
             ready: Vec::new(),
@@ -176,7 +183,7 @@
         };
         node.start_process(Duration::ZERO, script)?;
         node.sabotage_clients()?;
-        node.ask(CLIENTS, None)?;
+        node.start_direct_clients(CLIENT_COUNT, None)?;
         Ok(node)
     }
 
@@ -185,11 +192,11 @@
         if !matches!(sabotage, Some(Sabotage::LostAnswers | Sabotage::LateAnswers)) {
             return Ok(());
         }
-        let way = link(self.start.addr)?;
+        let sabotaged = link(self.start.addr)?;
         if sabotage == Some(Sabotage::LateAnswers) {
-            way.set_delay(SABOTAGED_DELAY);
+            sabotaged.set_delay(SABOTAGED_DELAY);
         }
-        self.sabotaged = Some(way);
+        self.sabotaged_link = Some(sabotaged);
         Ok(())
     }
 
@@ -199,33 +206,34 @@
         let faults = self.start.faults.as_ref().map(|(_, schedule)| schedule.clone());
         self.process = Some(Process::start(&self.environment.program, &self.start, &self.config, &self.log)?);
         (self.started_at, self.starts) = (now, self.starts + 1);
-        let mut world = self.environment.world.lock();
-        let state = &mut world.nodes[self.number];
-        (state.first_answer, state.terminated) = (None, false);
-        world.note(format!("n{} starts, failing calls: {faults:?}", self.number));
+        let mut platform = self.environment.platform.lock();
+        let state = &mut platform.nodes[self.number];
+        (state.first_answer_at, state.terminated) = (None, false);
+        platform.note(format!("n{} starts, failing calls: {faults:?}", self.number));
         Ok(())
     }
 
-    fn ask(&mut self, clients: usize, until: Option<Duration>) -> io::Result<()> {
-        let addr = self.sabotaged.as_ref().map_or(self.start.addr, Link::addr);
-        let plan = Plan { never_look: clients / NEVER_LOOKS_ONE_IN, ..self.plan(clients) };
+    fn start_direct_clients(&mut self, clients: usize, until: Option<Duration>) -> io::Result<()> {
+        let addr = self.sabotaged_link.as_ref().map_or(self.start.addr, Link::addr);
+        let plan = Plan { never_look: clients / NEVER_LOOK_DIVISOR, ..self.plan(clients) };
         self.start_clients(addr, plan, until, None)
     }
 
-    /// Has clients ask by a proxy that cuts what they send and get, and passes the end of one side on alone.
-    fn ask_in_pieces(&mut self, bytes: usize, until: Duration) -> io::Result<()> {
+    /// Starts clients behind a byte proxy that cuts both directions into pieces and forwards the
+    /// end of one side alone.
+    fn start_byte_proxy_clients(&mut self, bytes: usize, until: Duration) -> io::Result<()> {
         let proxy = link(self.start.addr)?;
         proxy.cut_into_pieces(bytes);
         proxy.half_close(true);
-        let plan = Plan { half_close: CLIENTS_BY_PROXY / 2, ..self.plan(CLIENTS_BY_PROXY) };
+        let plan = Plan { half_close: BYTE_PROXY_CLIENTS / 2, ..self.plan(BYTE_PROXY_CLIENTS) };
         self.start_clients(proxy.addr(), plan, Some(until), Some(proxy))
     }
 
     fn plan(&self, clients: usize) -> Plan {
-        let now = self.environment.world.lock().now();
+        let now = self.environment.platform.lock().now();
         let seed = self.environment.seed ^ (self.number as u64) << 20 ^ now.as_millis() as u64;
         let answer_within = Duration::from_secs(5);
-        Plan { clients, never_look: 0, half_close: 0, think_most: THINK_MOST, answer_within, seed }
+        Plan { clients, never_look: 0, half_close: 0, think_most: MAX_THINK_TIME, answer_within, seed }
     }
 
     fn start_clients(
@@ -237,32 +245,33 @@
     ) -> io::Result<()> {
         let clients = Clients::start(addr, plan)?;
         let from = self.since_start(&clients);
-        self.asking.push(Asking { until, clients, proxy, crowd: self.excuses.crowds.len() });
+        self.client_groups.push(ClientGroup { until, clients, proxy, crowd: self.excuses.crowds.len() });
         self.excuses.crowds.push(Crowd { clients: plan.clients, from, until: None });
         Ok(())
     }
 
-    /// When clients were started.
+    /// When the clients were started.
     fn since_start(&self, clients: &Clients) -> Duration {
-        clients.started.saturating_duration_since(self.environment.world.lock().started)
+        clients.started.saturating_duration_since(self.environment.platform.lock().started)
     }
 
-    /// Whether the relay may give it slices.
-    pub fn takes_slices(&self) -> bool {
-        self.process.as_ref().is_some_and(|process| !process.told_to_end)
+    /// Whether the relay may assign slices to this node.
+    pub fn can_hold_slices(&self) -> bool {
+        self.process.as_ref().is_some_and(|process| !process.is_stopping)
     }
 
-    /// Whether its process runs, is ready, and nothing is being done to it.
+    /// Whether the process runs, has been ready for [`MIN_UPTIME`] and is neither stopping nor
+    /// paused.
     fn is_at_rest(&self, now: Duration) -> bool {
         let ready = |process: &Process| {
-            let since = process.ready_after.map(|after| self.started_at + after + RELOAD_FROM);
-            !process.told_to_end && since.is_some_and(|since| now >= since)
+            let since = process.ready_after.map(|after| self.started_at + after + MIN_UPTIME);
+            !process.is_stopping && since.is_some_and(|since| now >= since)
         };
         self.process.as_ref().is_some_and(ready) && self.paused.is_none()
     }
 
-    /// Something happens to it.
-    pub fn act(&mut self, now: Duration, action: &Action) -> io::Result<()> {
+    /// Applies an action of the script that affects this node.
+    pub fn apply(&mut self, now: Duration, action: &Action) -> io::Result<()> {
         match action {
             Action::Series { terms, down, .. } if self.is_at_rest(now) => self.send_series(now, terms, *down),
             Action::Reload { .. } if self.is_at_rest(now) => self.reload(now),
@@ -273,38 +282,38 @@
             Action::Pause { time, .. } if self.is_at_rest(now) => {
                 self.signal(Signal::STOP);
                 self.paused = Some((now, now + *time));
-                self.environment.world.lock().excuse(self.number, *time);
+                self.environment.platform.lock().suspend_limits(self.number, *time);
                 Ok(())
             }
             Action::Cut { path, time, .. } => {
                 self.path(*path).cut(true);
-                self.wait_after(*path, now, *time);
+                self.schedule_repair(*path, now, *time);
                 Ok(())
             }
             Action::Stall { path, direction, time, .. } => {
                 self.path(*path).stall(*direction, true);
-                self.wait_after(*path, now, *time);
+                self.schedule_repair(*path, now, *time);
                 if *path == Path::Discovery {
-                    self.environment.world.lock().nodes[self.number].lists_held_until = now + *time;
+                    self.environment.platform.lock().nodes[self.number].lists_held_until = now + *time;
                 }
                 Ok(())
             }
             Action::Delay { path, by, time, .. } => {
                 self.path(*path).set_delay(*by);
-                self.wait_after(*path, now, *time);
+                self.schedule_repair(*path, now, *time);
                 Ok(())
             }
             Action::LateLists { by, time, .. } => {
-                self.environment.world.lock().nodes[self.number].list_delay = *by;
+                self.environment.platform.lock().nodes[self.number].list_delay = *by;
                 self.lists_on_time_at = Some(now + *time);
                 Ok(())
             }
-            Action::Crowd { clients, time, .. } => self.ask(*clients, Some(now + *time)),
+            Action::Crowd { clients, time, .. } => self.start_direct_clients(*clients, Some(now + *time)),
             Action::Pieces { bytes, time, .. } => {
-                self.paths.relay.cut_into_pieces(bytes * RELAY_PIECES);
+                self.paths.relay.cut_into_pieces(bytes * RELAY_PIECE_FACTOR);
                 self.paths.relay.half_close(true);
-                self.mends.push(Mend { at: now + *time, path: Path::Relay });
-                self.ask_in_pieces(*bytes, now + *time)
+                self.repairs.push(PathRepair { at: now + *time, path: Path::Relay });
+                self.start_byte_proxy_clients(*bytes, now + *time)
             }
             _ => Ok(()),
         }
@@ -317,11 +326,12 @@
         }
     }
 
-    /// A path is troubled for a time: time limits wait where the page says so.
-    fn wait_after(&mut self, path: Path, now: Duration, time: Duration) {
-        self.mends.push(Mend { at: now + time, path });
+    /// Schedules the restoration of a troubled path and suspends the time limits where the protocol
+    /// says so.
+    fn schedule_repair(&mut self, path: Path, now: Duration, time: Duration) {
+        self.repairs.push(PathRepair { at: now + time, path });
         if path == Path::Relay {
-            self.environment.world.lock().excuse(self.number, time + WAIT_AFTER_BREAK);
+            self.environment.platform.lock().suspend_limits(self.number, time + SUSPENSION_AFTER_BREAK);
         }
     }
 
@@ -332,58 +342,65 @@
     fn send_series(&mut self, now: Duration, terms: &[bool], down: Duration) -> io::Result<()> {
         for term in terms {
             if *term {
-                let told = self.environment.world.lock().now();
+                let term_sent = self.environment.platform.lock().now();
                 self.signal(Signal::TERM);
-                self.process.iter_mut().for_each(|process| process.told_to_end = true);
-                if self.told_at.is_none() {
-                    (self.told_at, self.kill_at) = (Some(told), Some(told + KILL_AFTER));
+                self.process.iter_mut().for_each(|process| process.is_stopping = true);
+                if self.term_sent_at.is_none() {
+                    (self.term_sent_at, self.kill_at) = (Some(term_sent), Some(term_sent + KILL_DELAY));
                 }
             } else if self.kill_at.is_none() {
                 self.reload(now)?;
             } else {
                 self.signal(Signal::HUP);
             }
-            thread::sleep(BETWEEN_SIGNALS);
+            thread::sleep(SIGNAL_INTERVAL);
         }
         self.down = down;
-        let mut world = self.environment.world.lock();
-        world.nodes[self.number].terminated = true;
-        world.note(format!("n{} was told to end", self.number));
+        let mut platform = self.environment.platform.lock();
+        platform.nodes[self.number].terminated = true;
+        platform.note(format!("n{} got SIGTERM", self.number));
         Ok(())
     }
 
-    /// A new configuration leads to new addresses; the former close a little later.
+    /// Moves relay and discovery to new addresses and sends SIGHUP; the former addresses close
+    /// later.
     fn reload(&mut self, now: Duration) -> io::Result<()> {
         let next = Paths { relay: link(self.relay)?, discovery: link(self.discovery)? };
         (self.start.relay, self.start.discovery) = (next.relay.addr(), next.discovery.addr());
         self.start.configure(&self.config)?;
         let former = std::mem::replace(&mut self.paths, next);
-        self.former.push((now + FORMER_ADDRESSES, former));
-        self.mends.clear();
-        self.environment.world.lock().excuse(self.number, WAIT_AFTER_BREAK);
+        self.former_paths.push((now + FORMER_ADDRESS_LIFETIME, former));
+        self.repairs.clear();
+        self.environment.platform.lock().suspend_limits(self.number, SUSPENSION_AFTER_BREAK);
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// Requests on their way end with the process.
+    /// Kills the process. Its pending requests end with it.
     fn kill(&mut self, now: Duration, down: Duration) {
-        let killed = self.environment.world.lock().now();
+        let killed = self.environment.platform.lock().now();
         if let Some(mut process) = self.process.take() {
             process.kill();
         }
-        let mut world = self.environment.world.lock();
-        world.nodes[self.number].news.clear();
-        self.excuses.ends.push(End { told: self.told_at, killed, gone: world.now(), back: None });
-        drop(world);
-        (self.told_at, self.kill_at, self.paused) = (None, None, None);
+        let mut platform = self.environment.platform.lock();
+        platform.nodes[self.number].watchers.clear();
+        self.excuses.ends.push(End { told: self.term_sent_at, killed, gone: platform.now(), back: None });
+        drop(platform);
+        (self.term_sent_at, self.kill_at, self.paused) = (None, None, None);
         self.restart_at = Some(now + down);
     }
 
-    /// Does what is due.
-    pub fn look(&mut self, now: Duration, script: &Script, broken: &mut Vec<Broken>) -> io::Result<()> {
+    /// Performs what is due: continue, kill, restart, restore paths, end client groups, break
+    /// sabotaged links.
+    pub fn poll(
+        &mut self,
+        now: Duration,
+        script: &Script,
+        violations: &mut Vec<Violation>,
+    ) -> io::Result<()> {
         if let Some((from, until)) = self.paused.filter(|(_, until)| now >= *until) {
             self.signal(Signal::CONT);
-            self.excuses.pauses.push((from, until.max(self.environment.world.lock().now())));
+            self.excuses.pauses.push((from, until.max(self.environment.platform.lock().now())));
             self.paused = None;
         }
         if self.kill_at.is_some_and(|at| now >= at) {
@@ -393,102 +410,103 @@
             self.restart_at = None;
             self.start_process(now, script)?;
         }
-        self.look_at_process(now, broken);
-        self.mend_paths(now);
-        self.end_crowds(now);
+        self.poll_process(now, violations);
+        self.repair_paths(now);
+        self.end_client_groups(now);
         if now >= self.sabotage_at {
-            self.sabotage_at = now + SABOTAGE_EVERY;
+            self.sabotage_at = now + SABOTAGE_INTERVAL;
             let lost = self.environment.sabotage == Some(Sabotage::LostAnswers);
-            self.sabotaged.iter().filter(|_| lost).for_each(|way| way.break_after(SABOTAGED_BYTES));
+            self.sabotaged_link.iter().filter(|_| lost).for_each(|link| link.break_after(SABOTAGED_BYTES));
         }
         Ok(())
     }
 
-    fn look_at_process(&mut self, now: Duration, broken: &mut Vec<Broken>) {
+    fn poll_process(&mut self, now: Duration, violations: &mut Vec<Violation>) {
         let Some(process) = &mut self.process else { return };
-        if process.look_for_ready() {
-            let mut world = self.environment.world.lock();
-            world.nodes[self.number].first_answer = Some(now);
-            world.note(format!("n{} answers", self.number));
+        if process.poll_ready() {
+            let mut platform = self.environment.platform.lock();
+            platform.nodes[self.number].first_answer_at = Some(now);
+            platform.note(format!("n{} answers", self.number));
             self.excuses.ends.iter_mut().for_each(|end| end.back = end.back.or(Some(now)));
             self.ready.extend(process.ready_after);
         }
-        let late = process.ready_after.is_none() && now > self.started_at + START_WITHIN;
-        if process.told_to_end || !(late || process.has_ended()) {
+        let late = process.ready_after.is_none() && now > self.started_at + MAX_START_TIME;
+        if process.is_stopping || !(late || process.has_ended()) {
             return;
         }
         let what = format!("n{} {}", self.number, if late { "was not ready" } else { "ended by itself" });
-        broken.push(Broken { rule: Rule::Crash, at_ms: now.as_millis() as u64, what });
-        self.kill(now, RESTART_AFTER);
+        violations.push(Violation { rule: Rule::Crash, at_ms: now.as_millis() as u64, what });
+        self.kill(now, RESTART_DELAY);
     }
 
-    fn mend_paths(&mut self, now: Duration) {
-        for mend in self.mends.extract_if(.., |mend| mend.at <= now).collect::<Vec<_>>() {
-            let path = self.path(mend.path);
+    fn repair_paths(&mut self, now: Duration) {
+        for repair in self.repairs.extract_if(.., |repair| repair.at <= now).collect::<Vec<_>>() {
+            let path = self.path(repair.path);
             path.cut(false);
             path.stall(Direction::Both, false);
             path.set_delay(Duration::ZERO);
             path.cut_into_pieces(0);
             path.half_close(false);
         }
-        for (_, paths) in self.former.iter().filter(|(at, _)| *at <= now) {
+        for (_, paths) in self.former_paths.iter().filter(|(at, _)| *at <= now) {
             paths.relay.cut(true);
             paths.discovery.cut(true);
         }
-        self.former.retain(|(at, _)| *at > now);
+        self.former_paths.retain(|(at, _)| *at > now);
         if self.lists_on_time_at.is_some_and(|at| at <= now) {
             self.lists_on_time_at = None;
-            self.environment.world.lock().nodes[self.number].list_delay = Duration::ZERO;
+            self.environment.platform.lock().nodes[self.number].list_delay = Duration::ZERO;
         }
     }
 
-    fn end_crowds(&mut self, now: Duration) {
-        for asking in self.asking.iter().filter(|asking| asking.until.is_some_and(|until| now >= until)) {
-            asking.clients.finish();
-            self.excuses.crowds[asking.crowd].until.get_or_insert(now);
+    fn end_client_groups(&mut self, now: Duration) {
+        for group in self.client_groups.iter().filter(|group| group.until.is_some_and(|until| now >= until)) {
+            group.clients.finish();
+            self.excuses.crowds[group.crowd].until.get_or_insert(now);
         }
-        let ended = |asking: &mut Asking| asking.until.is_some() && asking.clients.is_finished();
-        for asking in self.asking.extract_if(.., ended).collect::<Vec<_>>() {
-            self.judge(asking);
+        let ended = |group: &mut ClientGroup| group.until.is_some() && group.clients.is_finished();
+        for group in self.client_groups.extract_if(.., ended).collect::<Vec<_>>() {
+            self.audit_group(group);
         }
     }
 
-    fn judge(&mut self, asking: Asking) {
-        let since = self.since_start(&asking.clients);
-        let way = if asking.proxy.is_some() { Way::ByProxy } else { Way::Direct };
-        let requests = asking.clients.stop();
-        self.judged.add(judge(self.number, &requests, since, way, &self.excuses));
+    fn audit_group(&mut self, group: ClientGroup) {
+        let since = self.since_start(&group.clients);
+        let client_path = if group.proxy.is_some() { Way::ByProxy } else { Way::Direct };
+        let requests = group.clients.stop();
+        self.request_audit.add(judge(self.number, &requests, since, client_path, &self.excuses));
     }
 
-    /// Ends the clients, and tells what their requests came to.
+    /// Stops the clients and returns the audit of their requests.
     pub fn stop_clients(&mut self) -> RequestAudit {
         if let Some((from, _)) = self.paused.take() {
             self.signal(Signal::CONT);
-            let now = self.environment.world.lock().now();
+            let now = self.environment.platform.lock().now();
             self.excuses.pauses.push((from, now));
         }
-        for asking in std::mem::take(&mut self.asking) {
-            self.judge(asking);
+        for group in std::mem::take(&mut self.client_groups) {
+            self.audit_group(group);
         }
-        std::mem::take(&mut self.judged)
+        std::mem::take(&mut self.request_audit)
     }
 
-    /// Hands reports to the collectors; those that find no room are lost.
+    /// Passes reports to the collectors; reports that find the queue full are lost.
     pub fn report(&self, texts: Vec<String>) {
         let _ = self.reports.try_send(texts);
     }
 
-    /// Takes note of memory and descriptors.
-    pub fn measure(&mut self, now: Duration, broken: &mut Vec<Broken>) {
-        // Before it is ready it may still be a copy of this process, with the descriptors of this one.
+    /// Measures memory and descriptors and checks their limits.
+    pub fn measure(&mut self, now: Duration, violations: &mut Vec<Violation>) {
+        // Before it is ready the child may still be a copy of this process, with this process's
+        // descriptors.
         let ready = self.process.as_ref().filter(|process| process.ready_after.is_some());
         let Some((memory_kb, descriptors)) = ready.and_then(Process::usage) else { return };
         self.memory_kb = self.memory_kb.max(memory_kb);
         self.descriptors = self.descriptors.max(descriptors);
-        let over = memory_kb > MEMORY_MB * 1024 || descriptors > SOCKETS;
-        if over && !std::mem::replace(&mut self.over_limits, true) {
+        let is_over = memory_kb > MAX_MEMORY_MB * 1024 || descriptors > MAX_DESCRIPTORS;
+        if is_over && !std::mem::replace(&mut self.over_limits, true) {
             let what = format!("n{}: {memory_kb} KB, {descriptors} descriptors", self.number);
-            broken.push(Broken { rule: Rule::Limits, at_ms: now.as_millis() as u64, what });
+            violations.push(Violation { rule: Rule::Limits, at_ms: now.as_millis() as u64, what });
         }
     }
 }
--- a/crates/whinhill-standins/src/platform/sabotage.rs
+++ b/crates/whinhill-standins/src/platform/sabotage.rs
@@ -1,38 +1,40 @@
-//! Defects put into the stand-ins on purpose, to show that the auditor finds what they cause.
+//! Defects that are put into the stand-ins on purpose, to test that the audit detects their
+//! consequences.
 
 use std::str::FromStr;
 
-use super::script::{by_name, UnknownName};
+use super::script::{parse_name, UnknownName};
 
-/// A defect.
+/// A defect of the stand-ins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
     /// Answers at the assigners' addresses are cut off.
     LostAnswers,
-    /// They come late.
+    /// Answers at the assigners' addresses come late.
     LateAnswers,
-    /// One slice's line is lost on its way to the proxies.
+    /// The line of one slice does not reach the proxies.
     NoLine,
     /// Lines at draining servers stay.
     LateDrain,
     /// Half of the proxies keep a former line, open for writes.
     TwoWriters,
-    /// Ends of lines, and levels, of slices at silent servers are lost on their way to the proxies.
+    /// Orders that end a line or set a level do not reach the proxies for slices at silent servers.
     LostEnds,
-    /// Levels are ignored, but for those that stop writes.
+    /// Levels are ignored except those that stop writes.
     IgnoredLevels,
     /// Proxies send everything to the server that started last.
     ColdRush,
-    /// Each call waits in the channel [`REPEATED`] times.
+    /// Each call is queued in the channel [`REPEAT_COUNT`] times.
     RepeatedOrders,
-    /// Orders that stop writes do not reach one proxy, and marks count as answered by proxies that they do not reach.
+    /// Orders that stop writes do not reach one proxy, and acknowledgement requests count as
+    /// acknowledged by proxies that they do not reach.
     EarlyAnswers,
 }
 
-/// How often a sabotaged channel has each call.
-pub const REPEATED: usize = 500;
+/// How often each call is queued in a sabotaged channel.
+pub const REPEAT_COUNT: usize = 500;
 
-/// All of them, with the names by which they are asked for.
+/// All defects with their names on the command line.
 pub const SABOTAGES: [(&str, Sabotage); 10] = [
     ("lost-answers", Sabotage::LostAnswers),
     ("late-answers", Sabotage::LateAnswers),
@@ -50,6 +52,6 @@
     type Err = UnknownName;
 
     fn from_str(name: &str) -> Result<Self, UnknownName> {
-        by_name(name, &SABOTAGES)
+        parse_name(name, &SABOTAGES)
     }
 }
--- a/crates/whinhill-standins/src/platform/script.rs
+++ b/crates/whinhill-standins/src/platform/script.rs
@@ -1,4 +1,5 @@
-//! What happens to the assigners and round them in one seed: drawn once, the same for the same seed.
+//! The script of one seed: the actions on assigners and their surroundings. The same seed gives the
+//! same script.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,36 +9,37 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-use super::page::{PROXIES, PROXIES_MOST, ZONES};
+use super::parameters::{MANY_PROXIES, PROXIES, ZONES};
+use super::state::Condition;
 use super::streams::{StreamTrouble, STREAM_TROUBLES};
-use super::world::Condition;
 use crate::link::Direction;
 
-/// Kinds of trouble, to be drawn or asked for by name.
+/// Kinds of trouble, which a seed draws or the command line names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Trouble {
-    /// SIGHUP and SIGTERM, in series.
+    /// Series of SIGHUP and SIGTERM.
     Signals,
-    /// SIGKILL without a word before.
+    /// SIGKILL without a SIGTERM.
     Kills,
-    /// SIGSTOP for a while.
+    /// SIGSTOP for some time.
     Pauses,
-    /// Reads and writes fall short of memory or buffers, say too early that they would block, or are interrupted.
+    /// Reads and writes fail for lack of memory or buffers, transfer less than asked, return EAGAIN
+    /// too early, or are interrupted.
     Transfers,
     /// Accepts, sockets and connects fail.
     Connects,
-    /// Waits and registers fail.
+    /// Waits and registrations for I/O events fail.
     Waits,
     /// The wall clock is stepped.
     Clock,
-    /// Paths to relay and discovery break, fall silent one way or both, or are slow.
+    /// Paths to relay and discovery break, stall in one or both directions, or are slow.
     Paths,
-    /// Lists come late.
+    /// Server lists come late.
     Lists,
-    /// Servers fall silent or are slow, some of them by the quarter, and return cold.
+    /// Servers are slow, or a quarter of them is silent and then restarts cold.
     Servers,
-    /// Clients come by the hundred.
+    /// Hundreds of clients connect.
     Crowds,
     /// Servers answer probes and hang RPCs.
     Hangs,
@@ -45,34 +47,35 @@
     Probes,
     /// Servers reset connections.
     Resets,
-    /// Servers answer late, by a queue of work that others sent.
+    /// Servers answer late because of a queue of work from other senders.
     Queues,
-    /// A zone falls silent.
+    /// All servers of a zone are silent.
     Zones,
-    /// A quarter of the servers is gone, and back cold at once.
+    /// A quarter of the servers vanishes and returns cold all at once.
     Returns,
-    /// A list names many servers at once, with a burst of load.
+    /// Many servers are replaced at once, with a burst of load.
     Releases,
-    /// Collectors' reports come late or are lost.
+    /// Reports of the collectors come late or are lost.
     Collectors,
-    /// Proxies of bytes on the ways of clients and to the relay cut streams into small pieces and pass the end of one
-    /// side on alone.
+    /// Byte proxies on the paths of clients and to the relay cut streams into small pieces and
+    /// forward the end of one side alone.
     Pieces,
-    /// Streams of proxies break, fall silent, come back, and lose answers.
+    /// Streams of proxies break, are silent, return, or lose acknowledgements.
     Streams,
 }
 
-/// The first kinds: scripts of these alone, asked for by name, stay what they were.
+/// The number of kinds in [`TROUBLES`] that existed first. Scripts with only these kinds, asked for
+/// by name, must stay as they were, so they keep the former limit of nodes.
 const FIRST_KINDS: usize = 11;
-const FIRST_NODES_MOST: usize = 4;
+const MAX_NODES_OF_FIRST_KINDS: usize = 4;
 
-/// Kinds that every seed may draw. The others come on top, in seeds from [`ON_TOP_FROM`] on: scripts of earlier seeds
-/// stay what they were.
+/// The number of kinds in [`TROUBLES`] that every seed may draw. The others are added only to seeds
+/// from [`EXTRA_KIND_FIRST_SEED`] on, so that the scripts of earlier seeds stay as they were.
 pub const DRAWN_KINDS: usize = 20;
-const ON_TOP_FROM: u64 = 200;
-const ON_TOP_CHANCE: f64 = 0.5;
+const EXTRA_KIND_FIRST_SEED: u64 = 200;
+const EXTRA_KIND_CHANCE: f64 = 0.5;
 
-/// All of them, with the names by which they are asked for.
+/// All kinds with their names on the command line.
 pub const TROUBLES: [(&str, Trouble); 21] = [
     ("signals", Trouble::Signals),
     ("kills", Trouble::Kills),
@@ -97,7 +100,7 @@
     ("streams", Trouble::Streams),
 ];
 
-/// A name that is none of those that exist.
+/// A name that is not in a table of known names.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{name}' is none of {known}")]
 pub struct UnknownName {
@@ -105,8 +108,8 @@
     known: String,
 }
 
-/// Looks a name up in a table of all that exist.
-pub(super) fn by_name<T: Copy>(name: &str, table: &[(&str, T)]) -> Result<T, UnknownName> {
+/// Looks up a name in a table of known names.
+pub(super) fn parse_name<T: Copy>(name: &str, table: &[(&str, T)]) -> Result<T, UnknownName> {
     let found = table.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
     found.ok_or_else(|| {
         let known: Vec<&str> = table.iter().map(|(known, _)| *known).collect();
@@ -124,22 +127,22 @@
     type Err = UnknownName;
 
     fn from_str(name: &str) -> Result<Self, UnknownName> {
-        by_name(name, &TROUBLES)
+        parse_name(name, &TROUBLES)
     }
 }
 
-/// Which path of an assigner.
+/// A path of an assigner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
     Relay,
     Discovery,
 }
 
-/// One thing that happens.
+/// One action of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A series of signals, milliseconds apart: true is SIGTERM, false SIGHUP. The process starts again after
-    /// `down`.
+    /// A series of signals, milliseconds apart: true is SIGTERM, false SIGHUP. The process starts
+    /// again after `down`.
     Series {
         node: usize,
         terms: Vec<bool>,
@@ -156,7 +159,7 @@
         node: usize,
         time: Duration,
     },
-    /// A path's connections are reset, and new ones refused for a time.
+    /// The connections of a path are reset, and new ones are refused for a time.
     Cut {
         node: usize,
         path: Path,
@@ -179,7 +182,7 @@
         by: Duration,
         time: Duration,
     },
-    /// A part of the servers is silent for a time, and starts anew then.
+    /// A fraction of the servers is silent for a time and then restarts.
     Silence {
         share: f64,
         time: Duration,
@@ -193,7 +196,7 @@
         clients: usize,
         time: Duration,
     },
-    /// A part of the servers behaves otherwise for a time.
+    /// A fraction of the servers changes its condition for a time.
     Ill {
         condition: Condition,
         share: f64,
@@ -203,23 +206,23 @@
         zone: usize,
         time: Duration,
     },
-    /// A part of the servers has so much work before it.
+    /// A fraction of the servers gets extra work of this duration on each worker.
     Backlog {
         share: f64,
         by: Duration,
     },
-    /// A part of the servers is off the list, and back cold.
+    /// A fraction of the servers is removed from the list and returns cold.
     Vanish {
         share: f64,
         time: Duration,
     },
-    /// A part of the servers is replaced at once, with so many times the usual load.
+    /// A fraction of the servers is replaced at once, with a multiple of the usual load.
     Release {
         share: f64,
         rate_times: f64,
         time: Duration,
     },
-    /// Reports come so late, or not at all.
+    /// Reports come late by this much, or not at all.
     TroubledReports {
         node: usize,
         by: Option<Duration>,
@@ -230,7 +233,7 @@
         bytes: usize,
         time: Duration,
     },
-    /// Something happens to proxies' streams.
+    /// Something happens to the streams of proxies.
     Streams {
         node: usize,
         trouble: StreamTrouble,
@@ -238,58 +241,60 @@
     },
 }
 
-/// All that a seed holds.
+/// The script of a seed.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub nodes: usize,
     pub proxies: usize,
     pub troubles: Vec<Trouble>,
-    /// In the order of time.
+    /// In order of time.
     pub actions: Vec<(Duration, Action)>,
     seed: u64,
 }
 
-/// Nothing happens before: the first start and the first lines are of another concern.
-const QUIET: Duration = Duration::from_secs(3);
-/// And nothing begins so shortly before the end.
-const TAIL: Duration = Duration::from_secs(5);
+/// No action comes earlier, so that the first start and the first lines are not disturbed.
+const QUIET_START: Duration = Duration::from_secs(3);
+/// No action comes this close to the end of the run.
+const QUIET_END: Duration = Duration::from_secs(5);
 /// Mean time between two actions.
-const EVERY: Duration = Duration::from_millis(2500);
-const NODES_MOST: usize = 5;
-/// One in so many seeds with troubled streams has many proxies.
-const MANY_PROXIES_EACH: u64 = 3;
-/// A zone's silence, a release's load and troubled reports last so much longer than other troubles.
-const LONGER: Duration = Duration::from_secs(2);
-/// Milliseconds for which a stream is silent, flaps, or loses answers.
-const STREAM_TIME: std::ops::Range<u64> = 1000..20_000;
+const MEAN_ACTION_INTERVAL: Duration = Duration::from_millis(2500);
+const MAX_NODES: usize = 5;
+/// Of the seeds with troubled streams, those that are a multiple of this have many proxies.
+const MANY_PROXIES_SEED_DIVISOR: u64 = 3;
+/// A silent zone, the load of a release and troubled reports last this much longer than other
+/// troubles.
+const EXTRA_DURATION: Duration = Duration::from_secs(2);
+/// The range of milliseconds for which a stream is silent, flaps, or loses acknowledgements.
+const STREAM_TROUBLE_MS: std::ops::Range<u64> = 1000..20_000;
 
 impl Script {
-    /// Draws a seed's script. `only`: the kinds of trouble that may be drawn, all of which then are.
+    /// Draws the script of a seed. If `only` is not empty, the script has exactly these kinds of
+    /// trouble.
     pub fn draw(seed: u64, time: Duration, only: &[Trouble]) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let are_first = !only.is_empty() && only.iter().all(|kind| kind.is_first());
-        let nodes = random.random_range(1..=if are_first { FIRST_NODES_MOST } else { NODES_MOST });
+        let nodes = random.random_range(1..=if are_first { MAX_NODES_OF_FIRST_KINDS } else { MAX_NODES });
         let troubles: Vec<Trouble> = if only.is_empty() {
             let count = random.random_range(2..=6);
             let drawn = TROUBLES[..DRAWN_KINDS].choose_multiple(&mut random, count);
             let mut drawn: Vec<_> = drawn.map(|(_, trouble)| *trouble).collect();
             drawn.sort_unstable();
-            if seed >= ON_TOP_FROM && random.random_bool(ON_TOP_CHANCE) {
+            if seed >= EXTRA_KIND_FIRST_SEED && random.random_bool(EXTRA_KIND_CHANCE) {
                 drawn.push(Trouble::Streams);
             }
             drawn
         } else {
             only.to_vec()
         };
-        let has_many = troubles.contains(&Trouble::Streams) && seed.is_multiple_of(MANY_PROXIES_EACH);
-        let proxies = if has_many { PROXIES_MOST } else { PROXIES };
+        let has_many = troubles.contains(&Trouble::Streams) && seed.is_multiple_of(MANY_PROXIES_SEED_DIVISOR);
+        let proxies = if has_many { MANY_PROXIES } else { PROXIES };
         let mut script = Script { nodes, proxies, troubles, actions: Vec::new(), seed };
-        let mut at = QUIET;
-        while at + TAIL < time {
+        let mut at = QUIET_START;
+        while at + QUIET_END < time {
             if let Some(action) = script.draw_action(&mut random) {
                 script.actions.push((at, action));
             }
-            at += EVERY.mul_f64(random.random_range(0.2..1.8));
+            at += MEAN_ACTION_INTERVAL.mul_f64(random.random_range(0.2..1.8));
         }
         script
     }
@@ -329,28 +334,31 @@
             Trouble::Resets => Action::Ill { condition: Condition::Reset, share: 0.2, time },
             Trouble::Queues => Action::Backlog { share: 0.2, by: time },
             Trouble::Zones => {
-                Action::SilentZone { zone: random.random_range(0..ZONES.len()), time: time + LONGER }
+                Action::SilentZone { zone: random.random_range(0..ZONES.len()), time: time + EXTRA_DURATION }
             }
             Trouble::Returns => Action::Vanish { share: 0.25, time },
-            Trouble::Releases => {
-                Action::Release { share: 0.4, rate_times: random.random_range(2.0..5.0), time: time + LONGER }
-            }
+            Trouble::Releases => Action::Release {
+                share: 0.4,
+                rate_times: random.random_range(2.0..5.0),
+                time: time + EXTRA_DURATION,
+            },
             Trouble::Collectors => {
                 let by =
                     random.random_bool(0.5).then(|| Duration::from_millis(random.random_range(500..3000)));
-                Action::TroubledReports { node, by, time: time + LONGER }
+                Action::TroubledReports { node, by, time: time + EXTRA_DURATION }
             }
             Trouble::Pieces => Action::Pieces { node, bytes: random.random_range(2..18), time },
             Trouble::Streams => {
-                let time = Duration::from_millis(random.random_range(STREAM_TIME));
+                let time = Duration::from_millis(random.random_range(STREAM_TROUBLE_MS));
                 Action::Streams { node, trouble: *STREAM_TROUBLES.choose(random)?, time }
             }
-            // These are the library's, for the whole life of a process.
+            // The fault library causes these for the whole life of a process.
             Trouble::Transfers | Trouble::Connects | Trouble::Waits | Trouble::Clock => return None,
         })
     }
 
-    /// The schedule of failing calls for a process's `start`th start; `None`: none fail.
+    /// The schedule of failing calls for the start number `start` of a process; `None` if no calls
+    /// fail.
     pub fn failing_calls(&self, node: usize, start: usize) -> Option<String> {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed ^ (node as u64) << 40 ^ (start as u64) << 48);
         let mut parts = Vec::new();
--- a/crates/whinhill-standins/src/platform/servers.rs
+++ b/crates/whinhill-standins/src/platform/servers.rs
@@ -6,34 +6,35 @@
 use std::thread;
 use std::time::Duration;
 
-use super::plane::Plane;
-use super::world::{Condition, Server, Shared, WORKERS};
+use super::data_plane::Plane;
+use super::state::{Condition, Server, SharedState, WORKERS};
 
-const STACK: usize = 128 << 10;
-/// Connections that a silent server keeps open: the newest, since whoever asks gives up within a second.
-const HELD_MOST: usize = 64;
-/// A request is there within this, or its sender has gone.
-const REQUEST_WITHIN: Duration = Duration::from_millis(500);
+const STACK_SIZE: usize = 128 << 10;
+/// How many connections a silent server keeps open: the newest ones, since a prober gives up within
+/// a second.
+const MAX_HELD_CONNECTIONS: usize = 64;
+/// A request is complete within this time, or its sender has gone.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Starts a server's address. `place` is known once the world has the server.
-pub fn start(world: Arc<Shared>, listener: TcpListener, place: usize) -> io::Result<SocketAddr> {
+/// Starts a server's address. `index` is known once the platform state has the server.
+pub fn start(platform: Arc<SharedState>, listener: TcpListener, index: usize) -> io::Result<SocketAddr> {
     let addr = listener.local_addr()?;
-    thread::Builder::new().name("server".into()).stack_size(STACK).spawn(move || {
+    thread::Builder::new().name("server".into()).stack_size(STACK_SIZE).spawn(move || {
         let mut held = Vec::new();
         for stream in listener.incoming().flatten() {
             let (condition, load) = {
-                let world = world.lock();
-                let server = &world.servers[place];
-                (server.condition, Load::of(server, world.now()))
+                let platform = platform.lock();
+                let server = &platform.servers[index];
+                (server.condition, Load::of(server, platform.now()))
             };
             match condition {
                 Condition::Silent | Condition::Mute => {
                     held.push(stream);
-                    if held.len() > HELD_MOST {
+                    if held.len() > MAX_HELD_CONNECTIONS {
                         held.remove(0);
                     }
                 }
-                // As if nobody listened.
+                // As if nothing listened at the address.
                 Condition::Dead | Condition::Reset => drop(stream),
                 Condition::Well | Condition::Hang | Condition::Slow(_) => {
                     held.clear();
@@ -45,28 +46,29 @@
     Ok(addr)
 }
 
-/// What a server tells of its load. RPCs that hang hold a worker, and no core.
+/// The load that a server reports. RPCs that hang occupy a worker slot but no core.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    in_hand: usize,
+    in_flight: usize,
     queued: usize,
     busy: usize,
 }
 
 impl Load {
     fn of(server: &Server, now: Duration) -> Self {
-        let left = server.workers[Plane::Judged as usize].map(|free| free.saturating_sub(now));
-        let working = left.iter().filter(|left| !left.is_zero()).count();
-        // A worker is in the middle of one RPC; the rest of its work stands in the queue.
-        let held: f64 = left.iter().map(|left| left.div_duration_f64(server.mean_work(now)).ceil()).sum();
-        let hanging = server.held.iter().filter(|until| **until > now).count();
-        let in_hand = held as usize + hanging;
-        Load { in_hand, queued: in_hand.saturating_sub(WORKERS), busy: working }
+        let remaining = server.workers[Plane::Tested as usize].map(|free| free.saturating_sub(now));
+        let working = remaining.iter().filter(|remaining| !remaining.is_zero()).count();
+        // Each worker executes one RPC; the rest of its work is queued.
+        let working_or_queued: f64 =
+            remaining.iter().map(|remaining| remaining.div_duration_f64(server.mean_work(now)).ceil()).sum();
+        let hanging = server.hanging_until.iter().filter(|until| **until > now).count();
+        let in_flight = working_or_queued as usize + hanging;
+        Load { in_flight, queued: in_flight.saturating_sub(WORKERS), busy: working }
     }
 }
 
 fn answer(mut stream: TcpStream, load: Load) -> io::Result<()> {
-    stream.set_read_timeout(Some(REQUEST_WITHIN))?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
     let (mut request, mut piece) = (Vec::new(), [0; 512]);
     while !request.windows(4).any(|window| window == b"\r\n\r\n") {
         match stream.read(&mut piece)? {
@@ -74,9 +76,9 @@
             n => request.extend_from_slice(&piece[..n]),
         }
     }
-    let Load { in_hand, queued, busy } = load;
+    let Load { in_flight, queued, busy } = load;
     let util = busy as f64 / WORKERS as f64;
-    let body = format!("inflight={in_hand},queue={queued},util={util:.2}");
+    let body = format!("inflight={in_flight},queue={queued},util={util:.2}");
     let length = body.len();
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}")
 }
--- a/crates/whinhill-standins/src/platform/soak.rs
+++ b/crates/whinhill-standins/src/platform/soak.rs
@@ -1,5 +1,5 @@
-//! One seed of the soak: assigners as processes, with all that surrounds them on the platform, through the troubles
-//! of a script.
+//! One seed of the soak: assigners run as processes among the stand-ins of the platform, through
+//! the troubles of a script.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,51 +11,51 @@
 
 use serde::Serialize;
 
-use super::audit::{Broken, RequestAudit, Rule, TableAudit};
+use super::audit::{RequestAudit, Rule, TableAudit, Violation};
 use super::collectors;
 use super::custody;
+use super::data_plane::Outcomes;
+use super::detection_times::DetectionReport;
 use super::fleet::Fleet;
-use super::lost::{Cause, Stage};
+use super::lost_rpcs::{Cause, Stage};
 use super::node::{Environment, Node};
-use super::page::*;
-use super::plane::Outcomes;
-use super::reporting::Reporting;
+use super::parameters::*;
+use super::report_delivery::ReportDelivery;
+use super::rpc_shares::{self, SharesReport};
 use super::sabotage::Sabotage;
 use super::script::{Action, Script, Trouble};
-use super::silence::SilenceReport;
-use super::tally::{self, TallyReport};
+use super::state::{PlatformState, SharedState};
 use super::traffic::Traffic;
-use super::world::{Shared, World};
 
-/// How often everything is looked at.
-const TICK: Duration = Duration::from_millis(5);
-/// How often slices are dealt out anew.
-const DEAL_EVERY: Duration = Duration::from_millis(50);
-/// How often a process's memory and descriptors are looked at.
-const MEASURE_EVERY: Duration = Duration::from_millis(500);
-/// Servers at the start, and how often one of them is replaced.
-const SERVERS: usize = 9;
-const REPLACE_EVERY: Duration = Duration::from_millis(2000);
-/// Broken rules that a report names; the rest are counted.
-const BROKEN_MOST: usize = 20;
+/// Interval of the main loop.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// How often slices are distributed anew.
+const CUSTODY_INTERVAL: Duration = Duration::from_millis(50);
+/// How often the memory and descriptors of processes are measured.
+const MEASURE_INTERVAL: Duration = Duration::from_millis(500);
+/// The number of servers at the start, and how often one of them is replaced.
+const SERVER_COUNT: usize = 9;
+const REPLACE_INTERVAL: Duration = Duration::from_millis(2000);
+/// The most violations that a report lists; the others are only counted.
+const MAX_REPORTED_VIOLATIONS: usize = 20;
 
-/// What a seed is played with.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub seed: u64,
     pub time: Duration,
-    /// The kinds of trouble; empty: drawn.
+    /// The kinds of trouble; if empty, the seed draws them.
     pub only: Vec<Trouble>,
     pub sabotage: Option<Sabotage>,
     /// The `whinhill` program.
     pub program: PathBuf,
-    /// The library that makes calls fail; without it none fail.
+    /// The library that makes system calls fail; without it none fail.
     pub library: Option<PathBuf>,
-    /// Where configurations, logs and time lines go.
+    /// Folder for configurations, logs and timelines.
     pub folder: PathBuf,
 }
 
-/// What a seed has shown.
+/// The result of a seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub seed: u64,
@@ -64,7 +64,7 @@
     pub troubles: Vec<Trouble>,
     pub actions: usize,
     pub starts: usize,
-    /// Starts that were ready later than the page asks of nine in ten.
+    /// Starts that took longer than the limit that nine in ten must meet.
     pub slow_starts: usize,
     pub ready_ms_most: u64,
     pub memory_kb_most: u64,
@@ -74,57 +74,61 @@
     pub reference_rpcs: Outcomes,
     /// Lost RPCs by cause and stage.
     pub lost: BTreeMap<Cause, BTreeMap<Stage, u64>>,
-    pub shares: TallyReport,
-    /// From a server's silence to the last RPC sent there.
-    pub silence_to_last: SilenceReport,
-    pub reference_silence_to_last: SilenceReport,
-    /// The most lines that waited in an assigner's channel.
+    pub shares: SharesReport,
+    /// Time from when a server became unresponsive to the last RPC that was sent to it.
+    pub silence_to_last: DetectionReport,
+    pub reference_silence_to_last: DetectionReport,
+    /// The most lines that were queued in an assigner's channel.
     pub channel_lines_most: u64,
     pub broken_rules: usize,
     pub broken_by_rule: BTreeMap<Rule, usize>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
-/// Plays one seed. Fails where a process or an address is not to be had.
+/// Runs one seed. Fails if a process or an address cannot be created.
 pub fn run(options: &Options) -> io::Result<Report> {
-    Soak::start(options)?.play()
+    Soak::start(options)?.run_loop()
 }
 
 struct Soak<'a> {
     options: &'a Options,
     script: Script,
-    world: Arc<Shared>,
+    platform: Arc<SharedState>,
     nodes: Vec<Node>,
     traffic: Traffic,
-    tables: TableAudit,
+    table_audit: TableAudit,
     fleet: Fleet,
-    reporting: Reporting,
-    broken: Vec<Broken>,
+    report_delivery: ReportDelivery,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Soak<'a> {
     fn start(options: &'a Options) -> io::Result<Self> {
         fs::create_dir_all(&options.folder)?;
         let script = Script::draw(options.seed, options.time, &options.only);
-        let world =
-            Arc::new(Shared::new(World::new(script.nodes, script.proxies, options.seed, options.sabotage)));
+        let platform = Arc::new(SharedState::new(PlatformState::new(
+            script.nodes,
+            script.proxies,
+            options.seed,
+            options.sabotage,
+        )));
         let mut soak = Soak {
             options,
             traffic: Traffic::new(script.nodes, script.proxies, options.seed),
-            tables: TableAudit::new(script.proxies),
-            fleet: Fleet::new(world.clone(), options.seed),
-            reporting: Reporting::default(),
+            table_audit: TableAudit::new(script.proxies),
+            fleet: Fleet::new(platform.clone(), options.seed),
+            report_delivery: ReportDelivery::default(),
             script,
-            world,
+            platform,
             nodes: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         };
-        for number in 0..SERVERS {
+        for number in 0..SERVER_COUNT {
             soak.fleet.add(number, true)?;
         }
         for number in 0..soak.script.nodes {
             let environment = Environment {
-                world: soak.world.clone(),
+                platform: soak.platform.clone(),
                 program: options.program.clone(),
                 library: options.library.clone(),
                 folder: options.folder.clone(),
@@ -136,13 +140,14 @@
         Ok(soak)
     }
 
-    fn play(mut self) -> io::Result<Report> {
-        let (mut deal, mut measure, mut report) = (Duration::ZERO, Duration::ZERO, PERIOD);
-        let mut replace = REPLACE_EVERY;
+    fn run_loop(mut self) -> io::Result<Report> {
+        let (mut next_custody, mut next_measure, mut next_report) =
+            (Duration::ZERO, Duration::ZERO, REPORT_PERIOD);
+        let mut next_replace = REPLACE_INTERVAL;
         let mut actions = std::mem::take(&mut self.script.actions).into_iter().peekable();
-        let played = actions.len();
+        let action_count = actions.len();
         loop {
-            let now = self.world.lock().now();
+            let now = self.platform.lock().now();
             if now >= self.options.time {
                 break;
             }
@@ -150,50 +155,54 @@
                 self.act(now, &action)?;
             }
             for node in &mut self.nodes {
-                node.look(now, &self.script, &mut self.broken)?;
+                node.poll(now, &self.script, &mut self.violations)?;
             }
-            self.fleet.look(now);
-            if now >= replace {
-                replace = now + REPLACE_EVERY;
+            self.fleet.apply_due(now);
+            if now >= next_replace {
+                next_replace = now + REPLACE_INTERVAL;
                 self.fleet.replace(now)?;
             }
-            if now >= deal {
-                deal = now + DEAL_EVERY;
-                let serving: Vec<bool> = self.nodes.iter().map(Node::takes_slices).collect();
-                custody::deal(&mut self.world.lock(), &serving);
+            if now >= next_custody {
+                next_custody = now + CUSTODY_INTERVAL;
+                let serving: Vec<bool> = self.nodes.iter().map(Node::can_hold_slices).collect();
+                custody::assign_slices(&mut self.platform.lock(), &serving);
             }
             {
-                let mut world = self.world.lock();
-                world.apply_due();
-                self.traffic.play(&mut world);
-                self.tables.look(&world);
+                let mut platform = self.platform.lock();
+                platform.apply_due();
+                self.traffic.advance(&mut platform);
+                self.table_audit.check(&platform);
             }
-            if now >= report {
-                report = now + PERIOD;
+            if now >= next_report {
+                next_report = now + REPORT_PERIOD;
                 self.report(now);
             }
-            for (node, texts) in self.reporting.due(now) {
+            for (node, texts) in self.report_delivery.due(now) {
                 self.nodes[node].report(texts);
             }
-            if now >= measure {
-                measure = now + MEASURE_EVERY;
-                self.nodes.iter_mut().for_each(|node| node.measure(now, &mut self.broken));
+            if now >= next_measure {
+                next_measure = now + MEASURE_INTERVAL;
+                self.nodes.iter_mut().for_each(|node| node.measure(now, &mut self.violations));
             }
-            thread::sleep(TICK);
+            thread::sleep(TICK_INTERVAL);
         }
-        self.end(played)
+        self.finish(action_count)
     }
 
-    /// The collectors send what was met.
+    /// Sends the reports of the collectors.
     fn report(&mut self, now: Duration) {
-        let world = self.world.lock();
-        for (node, sums) in self.traffic.sums.iter_mut().enumerate() {
-            self.reporting.send(now, node, collectors::reports(&world, &std::mem::take(sums)));
+        let platform = self.platform.lock();
+        for (node, sums) in self.traffic.report_sums.iter_mut().enumerate() {
+            self.report_delivery.send(
+                now,
+                node,
+                collectors::format_reports(&platform, &std::mem::take(sums)),
+            );
         }
     }
 
     fn act(&mut self, now: Duration, action: &Action) -> io::Result<()> {
-        self.world.lock().note(format!("{action:?}"));
+        self.platform.lock().note(format!("{action:?}"));
         match action {
             Action::Series { node, .. }
             | Action::Reload { node }
@@ -204,45 +213,45 @@
             | Action::Delay { node, .. }
             | Action::LateLists { node, .. }
             | Action::Crowd { node, .. }
-            | Action::Pieces { node, .. } => self.nodes[*node].act(now, action),
+            | Action::Pieces { node, .. } => self.nodes[*node].apply(now, action),
             Action::Streams { node, trouble, time } => {
-                self.world.lock().trouble_streams(*node, *trouble, *time);
+                self.platform.lock().apply_stream_trouble(*node, *trouble, *time);
                 Ok(())
             }
             Action::TroubledReports { node, by, time } => {
-                self.reporting.trouble(*node, now + *time, *by);
+                self.report_delivery.add_fault(*node, now + *time, *by);
                 Ok(())
             }
-            _ => self.fleet.act(now, action),
+            _ => self.fleet.apply(now, action),
         }
     }
 
-    fn end(mut self, actions: usize) -> io::Result<Report> {
+    fn finish(mut self, actions: usize) -> io::Result<Report> {
         let mut requests = RequestAudit::default();
         for node in &mut self.nodes {
             requests.add(node.stop_clients());
         }
-        let (judged, reference) = (&self.traffic.judged, &self.traffic.reference);
-        let mut shares = tally::judge(&judged.tally, &reference.tally, self.options.time);
-        let lost = judged.lost_by_stage();
-        self.keep_lost()?;
-        let mut broken = std::mem::take(&mut self.tables.broken);
-        broken.append(&mut self.broken);
-        broken.append(&mut requests.broken);
-        broken.append(&mut shares.broken);
-        broken.append(&mut self.traffic.cold.broken);
-        broken.append(&mut self.traffic.writers.broken);
-        broken.extend(self.backlogs());
-        broken.sort_by_key(|broken| broken.at_ms);
+        let (tested, reference) = (&self.traffic.tested, &self.traffic.reference);
+        let mut shares = rpc_shares::compare(&tested.counts, &reference.counts, self.options.time);
+        let lost = tested.lost_by_stage();
+        self.write_lost_rpcs()?;
+        let mut violations = std::mem::take(&mut self.table_audit.violations);
+        violations.append(&mut self.violations);
+        violations.append(&mut requests.violations);
+        violations.append(&mut shares.violations);
+        violations.append(&mut self.traffic.cold_budget.violations);
+        violations.append(&mut self.traffic.writers.violations);
+        violations.extend(self.backlogs());
+        violations.sort_by_key(|violation| violation.at_ms);
         let starts = self.nodes.iter().map(|node| node.starts).sum();
         let ready: Vec<Duration> = self.nodes.iter().flat_map(|node| node.ready.iter().copied()).collect();
-        self.keep_time_line(&broken)?;
-        let lines = self.world.lock().nodes.iter().map(|node| node.channel.most as u64).max();
+        self.write_timeline(&violations)?;
+        let lines = self.platform.lock().nodes.iter().map(|node| node.channel.max_queued as u64).max();
         let channel_lines_most = lines.unwrap_or(0);
-        let broken_rules = broken.len();
+        let broken_rules = violations.len();
         let mut broken_by_rule = BTreeMap::new();
-        broken.iter().for_each(|broken| *broken_by_rule.entry(broken.rule).or_default() += 1);
-        broken.truncate(BROKEN_MOST);
+        violations.iter().for_each(|violation| *broken_by_rule.entry(violation.rule).or_default() += 1);
+        violations.truncate(MAX_REPORTED_VIOLATIONS);
         Ok(Report {
             seed: self.options.seed,
             nodes: self.script.nodes,
@@ -250,49 +259,50 @@
             troubles: self.script.troubles.clone(),
             actions,
             starts,
-            slow_starts: ready.iter().filter(|took| **took > READY_WITHIN).count(),
+            slow_starts: ready.iter().filter(|took| **took > MAX_READY_TIME).count(),
             ready_ms_most: ready.iter().max().map_or(0, |took| took.as_millis() as u64),
             memory_kb_most: self.nodes.iter().map(|node| node.memory_kb).max().unwrap_or(0),
             descriptors_most: self.nodes.iter().map(|node| node.descriptors).max().unwrap_or(0),
             requests,
-            rpcs: self.traffic.judged.outcomes,
+            rpcs: self.traffic.tested.outcomes,
             reference_rpcs: self.traffic.reference.outcomes,
             lost,
             shares,
-            silence_to_last: self.traffic.judged.silences.report(),
-            reference_silence_to_last: self.traffic.reference.silences.report(),
+            silence_to_last: self.traffic.tested.detection_times.report(),
+            reference_silence_to_last: self.traffic.reference.detection_times.report(),
             channel_lines_most,
             broken_rules,
             broken_by_rule,
-            broken,
+            broken: violations,
         })
     }
 
-    /// Channels whose queue was too long.
-    fn backlogs(&self) -> Vec<Broken> {
-        let world = self.world.lock();
-        let channels = world.nodes.iter().map(|node| node.channel.most).enumerate();
-        let broken = channels.filter(|(_, most)| *most > BACKLOG).map(|(node, most)| Broken {
-            rule: Rule::Backlog,
-            at_ms: self.options.time.as_millis() as u64,
-            what: format!("n{node}: {most:.0} lines waited, at most {BACKLOG:.0}"),
-        });
-        broken.collect()
+    /// Violations by channels whose queue was too long.
+    fn backlogs(&self) -> Vec<Violation> {
+        let platform = self.platform.lock();
+        let channels = platform.nodes.iter().map(|node| node.channel.max_queued).enumerate();
+        let violations =
+            channels.filter(|(_, queued)| *queued > MAX_CHANNEL_BACKLOG).map(|(node, queued)| Violation {
+                rule: Rule::Backlog,
+                at_ms: self.options.time.as_millis() as u64,
+                what: format!("n{node}: {queued:.0} lines queued, at most {MAX_CHANNEL_BACKLOG:.0}"),
+            });
+        violations.collect()
     }
 
     /// Writes each lost RPC into a file beside the logs.
-    fn keep_lost(&self) -> io::Result<()> {
-        let world = self.world.lock();
-        let lines = self.traffic.judged.lost.iter().map(|lost| lost.line(&world) + "\n");
+    fn write_lost_rpcs(&self) -> io::Result<()> {
+        let platform = self.platform.lock();
+        let lines = self.traffic.tested.lost.iter().map(|lost| lost.format_line(&platform) + "\n");
         fs::write(self.options.folder.join("lost-rpcs"), lines.collect::<String>())
     }
 
-    /// Writes what happened, and what was broken between, into a file beside the logs.
-    fn keep_time_line(&self, broken: &[Broken]) -> io::Result<()> {
-        let world = self.world.lock();
+    /// Writes the timeline with the violations into a file beside the logs.
+    fn write_timeline(&self, violations: &[Violation]) -> io::Result<()> {
+        let platform = self.platform.lock();
         let mut lines: Vec<(u64, String)> =
-            world.happened.iter().map(|(at, what)| (at.as_millis() as u64, what.clone())).collect();
-        lines.extend(broken.iter().map(|b| (b.at_ms, format!("BROKEN {:?}: {}", b.rule, b.what))));
+            platform.timeline.iter().map(|(at, what)| (at.as_millis() as u64, what.clone())).collect();
+        lines.extend(violations.iter().map(|v| (v.at_ms, format!("BROKEN {:?}: {}", v.rule, v.what))));
         lines.sort_by_key(|(at, _)| *at);
         let mut file = fs::File::create(self.options.folder.join("time-line"))?;
         for (at, what) in lines {
--- a/crates/whinhill-standins/src/platform/world.rs
+++ b/crates/whinhill-standins/src/platform/state.rs
@@ -1,7 +1,8 @@
-//! What stands round the assigners: servers, slices with their holders and lines, and the proxies' tables.
+//! The simulated platform around the assigners: servers, slices with their holders and lines, and
+//! the proxies' tables.
 //!
-//! One lock holds it all. The relay writes orders into it, discovery reads the servers, traffic picks by the tables,
-//! and the auditor looks at them.
+//! One lock protects all of it. The relay applies orders to it, discovery reads the servers,
+//! traffic picks servers by the tables, and the audit inspects them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,13 +14,13 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::channel::Channel;
-use super::page::{CLASSES, SLICES, WARM_AFTER, ZONES};
-use super::plane::{COLD, PLANES};
+use super::data_plane::{COLD_SLOWDOWN, PLANE_COUNT};
+use super::parameters::{CLASSES, SLICES, WARM_UP_DURATION, ZONES};
 use super::sabotage::Sabotage;
-use super::streams::{Answer, Planned, State, Stream};
+use super::streams::{Ack, PlannedStep, Stream, StreamState};
 use super::traffic::MEAN_WORK;
 
-/// Where discovery lists a server.
+/// A server's status in the discovery list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Ready,
@@ -28,8 +29,8 @@
 }
 
 impl Status {
-    /// The word on the wire.
-    pub fn word(self) -> &'static str {
+    /// The status as discovery writes it.
+    pub fn wire_name(self) -> &'static str {
         match self {
             Status::Ready => "SERVING",
             Status::Draining => "DRAINING",
@@ -42,17 +43,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     Well,
-    /// It takes connections and requests, and answers none.
+    /// Accepts connections and requests, and never answers.
     Silent,
-    /// It answers probes, and no RPC.
+    /// Answers probes, but no RPCs.
     Hang,
-    /// It answers RPCs, and no probe.
+    /// Answers RPCs, but no probes.
     Mute,
-    /// It resets what is sent to it.
+    /// Resets connections that send a request.
     Reset,
-    /// Its work takes this many times as long.
+    /// Takes this many times as long for its work.
     Slow(u32),
-    /// Its process is dead.
+    /// The process is dead.
     Dead,
 }
 
@@ -64,42 +65,42 @@
     pub addr: SocketAddr,
     pub status: Status,
     pub condition: Condition,
-    /// Since the world's start; `None`: long before it.
+    /// Since the start of the platform; `None` if long before it.
     pub started: Option<Duration>,
     pub started_unix_ms: u64,
-    /// By plane, when each of its workers is free.
-    pub workers: [[Duration; WORKERS]; PLANES],
-    /// RPCs of the judged plane that it took and does not answer, by when their callers give up.
-    pub held: VecDeque<Duration>,
-    /// Since when it is other than well.
-    pub unwell_since: Option<Duration>,
-    /// The first order since then that ended or gated a line at it.
-    pub noticed: Option<Duration>,
+    /// By plane: when each worker becomes free.
+    pub workers: [[Duration; WORKERS]; PLANE_COUNT],
+    /// Deadlines of RPCs of the tested plane that the server accepted and never answers.
+    pub hanging_until: VecDeque<Duration>,
+    /// Since when its condition is other than [`Condition::Well`].
+    pub unhealthy_since: Option<Duration>,
+    /// The first order since then that ended or gated a line at this server.
+    pub noticed_at: Option<Duration>,
 }
 
 impl Server {
-    /// How long an RPC takes there on average, without waiting.
+    /// The average time of an RPC at this server, without queueing.
     pub fn mean_work(&self, now: Duration) -> Duration {
-        let is_cold = self.started.is_some_and(|at| now < at + WARM_AFTER);
+        let is_cold = self.started.is_some_and(|at| now < at + WARM_UP_DURATION);
         let slow = if let Condition::Slow(times) = self.condition { times } else { 1 };
-        MEAN_WORK * slow * if is_cold { COLD } else { 1 }
+        MEAN_WORK * slow * if is_cold { COLD_SLOWDOWN } else { 1 }
     }
 
-    /// It takes an RPC that it will not answer; the caller gives up then.
-    pub fn hold(&mut self, now: Duration, until: Duration) {
-        self.held.retain(|until| *until > now);
-        self.held.push_back(until);
+    /// Accepts an RPC that is never answered; the caller gives up at `until`.
+    pub fn hold_unanswered(&mut self, now: Duration, until: Duration) {
+        self.hanging_until.retain(|until| *until > now);
+        self.hanging_until.push_back(until);
     }
 }
 
-/// RPCs that a server works on at a time.
+/// The number of RPCs that a server executes at the same time.
 pub const WORKERS: usize = 4;
-/// Longest way of an order to a proxy.
-const WAY_MOST: Duration = Duration::from_millis(40);
+/// Upper bound of the transit of an order to a proxy.
+const MAX_TRANSIT: Duration = Duration::from_millis(40);
 
-/// An entry of the list that changed.
+/// A change of an entry in the server list.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct ListChange {
     pub version: u64,
     pub at: Duration,
     pub server: usize,
@@ -109,34 +110,36 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Table {
     pub server: Option<usize>,
-    /// The share that is let in, by class.
+    /// The admitted share, by class.
     pub levels: [f64; CLASSES.len()],
-    /// When the newest order that it holds was sent.
+    /// When the newest order that the proxy has received was sent.
     pub as_of: Duration,
 }
 
-/// No server, and all is let in.
-pub const OPEN: Table = Table { server: None, levels: [1.0; CLASSES.len()], as_of: Duration::ZERO };
+/// A table without a server that admits everything.
+pub const INITIAL_TABLE: Table = Table { server: None, levels: [1.0; CLASSES.len()], as_of: Duration::ZERO };
 
-/// How long an order takes to a proxy.
-pub fn draw_way(random: &mut ChaCha8Rng) -> Duration {
-    random.random_range(Duration::from_millis(1)..WAY_MOST)
+/// Draws the transit of an order to a proxy.
+pub fn draw_transit(random: &mut ChaCha8Rng) -> Duration {
+    random.random_range(Duration::from_millis(1)..MAX_TRANSIT)
 }
 
 /// One slice as the store has it.
 #[derive(Clone, Debug)]
 pub struct Slice {
+    /// The assigner that has custody of the slice.
     pub holder: Option<usize>,
     pub line: Option<usize>,
-    /// The last order that ended or gated its line: at which server, and when.
-    pub ended: Option<(usize, Duration)>,
-    /// Grows with each change of hands: what an earlier holder ordered is no longer applied.
+    /// The last order that ended or gated the slice's line: at which server, and when.
+    pub last_end: Option<(usize, Duration)>,
+    /// Increases with each change of the holder, so that orders of an earlier holder are no longer
+    /// applied.
     pub epoch: u64,
-    pub given_at: Duration,
-    /// The share that is let in, by class.
+    pub acquired_at: Duration,
+    /// The admitted share, by class.
     pub levels: [f64; CLASSES.len()],
-    /// By server, when it became the line last.
-    pub set_at: BTreeMap<usize, Duration>,
+    /// By server: when it last became the line.
+    pub line_set_at: BTreeMap<usize, Duration>,
 }
 
 /// What an order does at a proxy.
@@ -144,131 +147,140 @@
 pub enum Effect {
     Line { slice: usize, server: Option<usize> },
     Level { slice: usize, class: Option<usize>, share: f64 },
-    Mark { node: usize, mark: u16 },
+    AckRequest { node: usize, ack_seq: u16 },
 }
 
+/// A message on its way from an assigner to a proxy; each effect has the epoch of its slice.
 #[derive(Debug)]
-struct Travelling {
+struct InTransit {
     due: Duration,
     sent: Duration,
     proxy: usize,
     node: usize,
-    epochs: Vec<(Effect, u64)>,
+    effects_with_epochs: Vec<(Effect, u64)>,
 }
 
-/// One assigner as the relay and the auditor see it.
+/// One assigner as the relay and the audit see it.
 #[derive(Debug, Default)]
-pub struct Node {
-    /// Readers of news, newest last.
-    pub news: Vec<SyncSender<String>>,
-    pub left_at: Option<Duration>,
-    pub first_answer: Option<Duration>,
-    /// Time limits do not run until then.
-    pub excused_until: Duration,
-    /// By version of the list, when discovery wrote it to this assigner.
-    pub told: Vec<(u64, Duration)>,
-    /// Lists reach it so much later.
+pub struct NodeState {
+    /// Its open watch streams, newest last.
+    pub watchers: Vec<SyncSender<String>>,
+    /// Since when the assigner has no watch stream; zero if its process does not serve.
+    pub watch_lost_at: Option<Duration>,
+    pub first_answer_at: Option<Duration>,
+    /// Time limits are suspended until then.
+    pub limits_suspended_until: Duration,
+    /// By list version: when discovery wrote it to this assigner.
+    pub lists_published: Vec<(u64, Duration)>,
+    /// Delay of server lists to this assigner.
     pub list_delay: Duration,
-    /// What discovery writes to it is held on the way until then.
+    /// Until when a stalled path holds back what discovery writes to this assigner.
     pub lists_held_until: Duration,
+    /// SIGTERM was sent to the process.
     pub terminated: bool,
     pub channel: Channel,
-    pub last_mark: Option<u16>,
+    pub last_ack_seq: Option<u16>,
 }
 
-/// All of it.
+/// The state of the simulated platform.
 #[derive(Debug)]
-pub struct World {
+pub struct PlatformState {
     pub started: Instant,
     pub proxies: usize,
     pub servers: Vec<Server>,
+    /// The version of the server list.
     pub version: u64,
-    pub changes: Vec<Change>,
+    /// All changes of the server list so far.
+    pub changes: Vec<ListChange>,
     pub slices: Vec<Slice>,
+    /// By proxy and slice.
     pub tables: Vec<Vec<Table>>,
-    pub nodes: Vec<Node>,
+    pub nodes: Vec<NodeState>,
     pub sabotage: Option<Sabotage>,
-    /// Load, in times of the usual.
-    pub rate_times: f64,
-    travelling: VecDeque<Travelling>,
+    /// The current load as a multiple of the usual load.
+    pub load_factor: f64,
+    in_transit: VecDeque<InTransit>,
     /// By proxy and assigner.
     pub streams: Vec<Vec<Stream>>,
-    /// By proxy and slice, until when writes are sent without a stream; `None`: the stream stands.
+    /// By proxy and slice: until when the proxy sends writes without a stream; `None` while its
+    /// stream is up.
     pub(super) write_leases: Vec<Vec<Option<Duration>>>,
-    pub(super) planned: Vec<Planned>,
-    pub(super) answers: Vec<Answer>,
+    pub(super) planned: Vec<PlannedStep>,
+    pub(super) acks: Vec<Ack>,
     pub(super) random: ChaCha8Rng,
-    /// What happened, for the time line of a broken seed.
-    pub happened: Vec<(Duration, String)>,
+    /// Events, for the timeline of a run with violations.
+    pub timeline: Vec<(Duration, String)>,
 }
 
-/// The world behind its lock.
+/// The platform state behind its lock.
 #[derive(Debug)]
-pub struct Shared(Mutex<World>);
+pub struct SharedState(Mutex<PlatformState>);
 
-impl Shared {
-    /// A world to be shared by the stand-ins' threads.
-    pub fn new(world: World) -> Self {
-        Shared(Mutex::new(world))
+impl SharedState {
+    /// Wraps a platform state to share it among the threads of the stand-ins.
+    pub fn new(platform: PlatformState) -> Self {
+        SharedState(Mutex::new(platform))
     }
 
-    /// Locks it. A thread that panicked has left it whole: each change is one step.
-    pub fn lock(&self) -> MutexGuard<'_, World> {
+    /// Locks the state. If a thread panicked, the state is still consistent, since each change is
+    /// one step.
+    pub fn lock(&self) -> MutexGuard<'_, PlatformState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Most lines of the time line that are kept.
-const HAPPENED_MOST: usize = 40_000;
+/// The most events that the timeline keeps.
+const MAX_TIMELINE_ENTRIES: usize = 40_000;
 
-impl World {
-    /// A world without servers yet, for so many assigners and proxies.
+impl PlatformState {
+    /// Creates a platform without servers.
     pub fn new(nodes: usize, proxies: usize, seed: u64, sabotage: Option<Sabotage>) -> Self {
         let slice = Slice {
             holder: None,
             line: None,
-            ended: None,
+            last_end: None,
             epoch: 0,
-            given_at: Duration::ZERO,
-            levels: OPEN.levels,
-            set_at: BTreeMap::new(),
+            acquired_at: Duration::ZERO,
+            levels: INITIAL_TABLE.levels,
+            line_set_at: BTreeMap::new(),
         };
-        World {
+        PlatformState {
             started: Instant::now(),
             proxies,
             servers: Vec::new(),
             version: 1,
             changes: Vec::new(),
             slices: vec![slice; SLICES],
-            tables: vec![vec![OPEN; SLICES]; proxies],
-            nodes: (0..nodes).map(|_| Node::default()).collect(),
+            tables: vec![vec![INITIAL_TABLE; SLICES]; proxies],
+            nodes: (0..nodes).map(|_| NodeState::default()).collect(),
             sabotage,
-            rate_times: 1.0,
-            travelling: VecDeque::new(),
+            load_factor: 1.0,
+            in_transit: VecDeque::new(),
             streams: vec![vec![Stream::default(); nodes]; proxies],
             write_leases: vec![vec![None; SLICES]; proxies],
             planned: Vec::new(),
-            answers: Vec::new(),
+            acks: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            happened: Vec::new(),
+            timeline: Vec::new(),
         }
     }
 
-    /// Since the start.
+    /// Time since the start.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Notes something for the time line.
+    /// Adds an event to the timeline.
     pub fn note(&mut self, what: String) {
-        if self.happened.len() < HAPPENED_MOST {
+        if self.timeline.len() < MAX_TIMELINE_ENTRIES {
             let now = self.now();
-            self.happened.push((now, what));
+            self.timeline.push((now, what));
         }
     }
 
-    /// A server that discovery lists as ready from now on; `old`: it has served for long.
-    pub fn add_server(&mut self, name: String, zone: usize, addr: SocketAddr, old: bool) -> usize {
+    /// Adds a server that discovery lists as ready from now on. With `long_running` it counts as
+    /// started long ago.
+    pub fn add_server(&mut self, name: String, zone: usize, addr: SocketAddr, long_running: bool) -> usize {
         let now = self.now();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.servers.push(Server {
@@ -277,42 +289,42 @@
             addr,
             status: Status::Ready,
             condition: Condition::Well,
-            started: (!old).then_some(now),
-            started_unix_ms: if old { 0 } else { unix.as_millis() as u64 },
-            workers: [[Duration::ZERO; WORKERS]; PLANES],
-            held: VecDeque::new(),
-            unwell_since: None,
-            noticed: None,
+            started: (!long_running).then_some(now),
+            started_unix_ms: if long_running { 0 } else { unix.as_millis() as u64 },
+            workers: [[Duration::ZERO; WORKERS]; PLANE_COUNT],
+            hanging_until: VecDeque::new(),
+            unhealthy_since: None,
+            noticed_at: None,
         });
         let server = self.servers.len() - 1;
-        self.list(server, Status::Ready);
+        self.set_status(server, Status::Ready);
         server
     }
 
-    /// The list names another status for a server.
-    pub fn list(&mut self, server: usize, status: Status) {
+    /// Changes the status of a server in the list.
+    pub fn set_status(&mut self, server: usize, status: Status) {
         self.servers[server].status = status;
         self.version += 1;
-        let change = Change { version: self.version, at: self.now(), server };
+        let change = ListChange { version: self.version, at: self.now(), server };
         self.changes.push(change);
         self.note(format!("list {} {} {status:?}", self.version, self.servers[server].name));
     }
 
-    /// A server behaves otherwise from now on.
+    /// Changes how a server behaves.
     pub fn set_condition(&mut self, server: usize, condition: Condition) {
         let now = self.now();
         let state = &mut self.servers[server];
-        (state.condition, state.noticed) = (condition, None);
-        state.unwell_since = (condition != Condition::Well).then_some(now);
+        (state.condition, state.noticed_at) = (condition, None);
+        state.unhealthy_since = (condition != Condition::Well).then_some(now);
         self.note(format!("{} is {condition:?}", self.servers[server].name));
     }
 
-    /// A holder orders a slice's line.
+    /// Applies a holder's order for the line of a slice.
     pub fn order_line(&mut self, slice: usize, server: Option<usize>) {
         let (now, former) = (self.now(), std::mem::replace(&mut self.slices[slice].line, server));
         if former != server {
             if let Some(server) = server {
-                self.slices[slice].set_at.insert(server, now);
+                self.slices[slice].line_set_at.insert(server, now);
             }
             let name = server.map_or("none", |server| self.servers[server].name.as_str());
             self.note(format!("slice {slice} line at {name}"));
@@ -320,10 +332,10 @@
         former
             .filter(|former| server != Some(*former))
             .into_iter()
-            .for_each(|former| self.end(slice, former));
+            .for_each(|former| self.note_line_end(slice, former));
     }
 
-    /// A holder orders what share a slice's server is sent.
+    /// Applies a holder's order for the admitted share of a slice.
     pub fn order_level(&mut self, slice: usize, class: Option<usize>, share: f64) {
         self.note(format!(
             "slice {slice} level {share:.2} {}",
@@ -333,15 +345,15 @@
             *level = if class.is_none_or(|class| class == number) { share } else { *level };
         }
         let line = self.slices[slice].line.filter(|_| share < 1.0);
-        line.into_iter().for_each(|server| self.end(slice, server));
+        line.into_iter().for_each(|server| self.note_line_end(slice, server));
     }
 
-    fn end(&mut self, slice: usize, server: usize) {
+    fn note_line_end(&mut self, slice: usize, server: usize) {
         let now = self.now();
-        self.slices[slice].ended = Some((server, now));
+        self.slices[slice].last_end = Some((server, now));
         let state = &mut self.servers[server];
-        let Some(since) = state.unwell_since.filter(|_| state.noticed.is_none()) else { return };
-        state.noticed = Some(now);
+        let Some(since) = state.unhealthy_since.filter(|_| state.noticed_at.is_none()) else { return };
+        state.noticed_at = Some(now);
         let (after, condition) = ((now - since).as_millis(), state.condition);
         let holder = self.slices[slice].holder;
         self.note(format!(
@@ -350,7 +362,7 @@
         ));
     }
 
-    /// A server's process starts anew, and is cold.
+    /// Restarts a server's process; the server is cold.
     pub fn restart_server(&mut self, server: usize) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = self.now();
@@ -358,83 +370,91 @@
         let state = &mut self.servers[server];
         state.started = Some(now);
         state.started_unix_ms = unix.as_millis() as u64;
-        state.workers = [[now; WORKERS]; PLANES];
-        state.held.clear();
-        self.list(server, Status::Ready);
+        state.workers = [[now; WORKERS]; PLANE_COUNT];
+        state.hanging_until.clear();
+        self.set_status(server, Status::Ready);
     }
 
-    /// The place of a server by its name.
+    /// The index of the server with this name.
     pub fn server_named(&self, name: &str) -> Option<usize> {
         self.servers.iter().position(|server| server.name == name)
     }
 
-    /// Time limits of an assigner's slices wait so much longer.
-    pub fn excuse(&mut self, node: usize, wait: Duration) {
+    /// Suspends the time limits of an assigner's slices for a time.
+    pub fn suspend_limits(&mut self, node: usize, wait: Duration) {
         let until = self.now() + wait;
-        self.nodes[node].excused_until = self.nodes[node].excused_until.max(until);
+        self.nodes[node].limits_suspended_until = self.nodes[node].limits_suspended_until.max(until);
     }
 
-    /// Sends news to an assigner; a reader that is too far behind is dropped.
-    pub fn tell(&mut self, node: usize, line: &str) {
-        self.nodes[node].news.retain(|reader| reader.try_send(line.to_string()).is_ok());
+    /// Sends a watch update to an assigner; a stream whose queue is full is dropped.
+    pub fn notify(&mut self, node: usize, line: &str) {
+        self.nodes[node].watchers.retain(|reader| reader.try_send(line.to_string()).is_ok());
     }
 
-    /// Gives a slice to an assigner, or takes it away.
-    pub fn give(&mut self, slice: usize, holder: Option<usize>) {
+    /// Assigns a slice to an assigner, or releases it.
+    pub fn set_holder(&mut self, slice: usize, holder: Option<usize>) {
         let now = self.now();
         let former = std::mem::replace(&mut self.slices[slice].holder, holder);
         if former == holder {
             return;
         }
         self.slices[slice].epoch += 1;
-        self.slices[slice].given_at = now;
+        self.slices[slice].acquired_at = now;
         if let Some(former) = former {
-            self.tell(former, &format!("* lease {slice} 0\r\n"));
+            self.notify(former, &format!("* lease {slice} 0\r\n"));
         }
         if let Some(holder) = holder {
-            self.tell(holder, &format!("* lease {slice} 1\r\n"));
+            self.notify(holder, &format!("* lease {slice} 1\r\n"));
             if let Some(server) = self.slices[slice].line {
                 let name = &self.servers[server].name;
                 let line = format!("* line {slice} {name} 1.0\r\n");
-                self.tell(holder, &line);
+                self.notify(holder, &line);
             }
         }
-        self.slices[slice].levels = OPEN.levels;
-        self.hand_over(slice);
+        self.slices[slice].levels = INITIAL_TABLE.levels;
+        self.on_holder_change(slice);
         self.note(format!("slice {slice} from {former:?} to {holder:?}"));
     }
 
-    /// Sends an assigner's effects to all proxies that have a stream to it, each with a way of its own.
+    /// Sends an assigner's effects to all proxies that have a stream to it, each with its own
+    /// transit time.
     pub fn send(&mut self, node: usize, effects: &[Effect]) {
-        self.lose_stops(node, effects);
+        self.lose_stream_before_stops(node, effects);
         let now = self.now();
         let epoch = |effect: &Effect| match effect {
             Effect::Line { slice, .. } | Effect::Level { slice, .. } => self.slices[*slice].epoch,
-            Effect::Mark { .. } => 0,
+            Effect::AckRequest { .. } => 0,
         };
-        let epochs: Vec<(Effect, u64)> = effects.iter().map(|effect| (*effect, epoch(effect))).collect();
+        let effects_with_epochs: Vec<(Effect, u64)> =
+            effects.iter().map(|effect| (*effect, epoch(effect))).collect();
         for proxy in 0..self.proxies {
-            let way = draw_way(&mut self.random);
+            let transit = draw_transit(&mut self.random);
             // Orders of one assigner reach a proxy in the order in which they were sent.
-            let before = self.travelling.iter().rev().find(|t| t.proxy == proxy && t.node == node);
+            let before = self.in_transit.iter().rev().find(|t| t.proxy == proxy && t.node == node);
             let last = before.map_or(now, |t| t.due);
             let stream = self.streams[proxy][node];
-            // What is sent before it has read the store it takes in after that.
-            let due = (now + way).max(last).max(stream.reads_at.unwrap_or_default());
-            if stream.state == State::Lost {
-                self.answer_unread_marks(proxy, effects);
+            // Orders that arrive before the proxy has read the store are applied after that.
+            let due = (now + transit).max(last).max(stream.store_read_at.unwrap_or_default());
+            if stream.state == StreamState::Lost {
+                self.ack_unreceived(proxy, effects);
             } else {
-                self.travelling.push_back(Travelling { due, sent: now, proxy, node, epochs: epochs.clone() });
+                self.in_transit.push_back(InTransit {
+                    due,
+                    sent: now,
+                    proxy,
+                    node,
+                    effects_with_epochs: effects_with_epochs.clone(),
+                });
             }
         }
     }
 
-    /// What an assigner sent to a proxy whose stream is lost does not arrive.
-    pub(super) fn lose_messages(&mut self, proxy: usize, node: usize) {
-        self.travelling.retain(|travelling| travelling.proxy != proxy || travelling.node != node);
+    /// Drops what an assigner has sent to a proxy whose stream is lost.
+    pub(super) fn drop_messages(&mut self, proxy: usize, node: usize) {
+        self.in_transit.retain(|message| message.proxy != proxy || message.node != node);
     }
 
-    /// The table by which a proxy sends.
+    /// The table that a proxy sends by.
     pub fn table(&self, proxy: usize, slice: usize) -> Table {
         let table = self.tables[proxy][slice];
         if self.sabotage != Some(Sabotage::ColdRush) {
@@ -445,25 +465,25 @@
         Table { server: ready.max_by_key(newest), ..table }
     }
 
-    /// Applies what has reached the proxies by now.
+    /// Applies the messages that have reached the proxies by now.
     pub fn apply_due(&mut self) {
         let now = self.now();
-        self.step_streams();
+        self.run_planned_steps();
         let (due, later): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.travelling).into_iter().partition(|t| t.due <= now);
-        self.travelling = later;
-        for travelling in due {
-            self.apply(&travelling);
+            std::mem::take(&mut self.in_transit).into_iter().partition(|t| t.due <= now);
+        self.in_transit = later;
+        for message in due {
+            self.apply(&message);
         }
-        self.tell_answers();
+        self.deliver_acks();
     }
 
-    fn apply(&mut self, travelling: &Travelling) {
-        let proxy = travelling.proxy;
-        for (effect, epoch) in &travelling.epochs {
+    fn apply(&mut self, message: &InTransit) {
+        let proxy = message.proxy;
+        for (effect, epoch) in &message.effects_with_epochs {
             if let Effect::Line { slice, .. } | Effect::Level { slice, .. } = effect {
                 let table = &mut self.tables[proxy][*slice];
-                table.as_of = table.as_of.max(travelling.sent);
+                table.as_of = table.as_of.max(message.sent);
             }
             match *effect {
                 Effect::Line { slice, server } if *epoch == self.slices[slice].epoch => {
@@ -498,26 +518,31 @@
                         }
                     }
                 }
-                Effect::Mark { node, mark } => {
-                    self.answer_mark(proxy, node, mark, travelling.due - travelling.sent);
+                Effect::AckRequest { node, ack_seq } => {
+                    self.send_ack(proxy, node, ack_seq, message.due - message.sent);
                 }
                 Effect::Line { .. } | Effect::Level { .. } => {}
             }
         }
     }
 
-    /// Whether some server is ready, well and warm.
+    /// Whether at least one server is ready, healthy and warm.
     pub fn has_warm_server(&self) -> bool {
         let now = self.now();
-        let warm = |started: Option<Duration>| started.is_none_or(|at| now >= at + super::page::WARM_AFTER);
+        let warm = |started: Option<Duration>| {
+            started.is_none_or(|at| now >= at + super::parameters::WARM_UP_DURATION)
+        };
         self.servers
             .iter()
             .any(|s| s.status == Status::Ready && s.condition == Condition::Well && warm(s.started))
     }
 
-    /// When an assigner counts as told of a version.
-    pub fn told_at(&self, node: usize, change: &Change) -> Duration {
-        let told = self.nodes[node].told.iter().find(|(version, _)| *version >= change.version);
-        told.map_or(Duration::MAX, |(_, at)| *at).min(change.at + super::page::TOLD_WITHIN)
+    /// When an assigner counts as informed of a list change.
+    pub fn informed_at(&self, node: usize, change: &ListChange) -> Duration {
+        let publication =
+            self.nodes[node].lists_published.iter().find(|(version, _)| *version >= change.version);
+        publication
+            .map_or(Duration::MAX, |(_, at)| *at)
+            .min(change.at + super::parameters::MAX_DISCOVERY_DELAY)
     }
 }
--- a/crates/whinhill-standins/src/platform/streams.rs
+++ b/crates/whinhill-standins/src/platform/streams.rs
@@ -1,39 +1,40 @@
-//! Streams between proxies and assigners: they break, fall silent, come back, and lose the answers to marks.
+//! Streams between proxies and assigners: they break, are silent, return, and lose
+//! acknowledgements.
 //!
-//! A proxy whose stream is lost goes on with what it holds, writes for the write lease only, and reads the store within
-//! a second once the stream is back. Messages that were on their way to it are lost.
+//! A proxy whose stream is lost keeps its tables, sends writes only for the write lease, and reads
+//! the store within a second once the stream is back. Messages in transit to it are lost.
 
 use std::time::Duration;
 
 use rand::seq::IndexedRandom;
 use rand::Rng;
 
-use super::page::{READS_STORE_WITHIN, SLICES, WRITE_LEASE, ZONES};
+use super::parameters::{MAX_STORE_READ_DELAY, SLICES, WRITE_LEASE, ZONES};
 use super::sabotage::Sabotage;
-use super::world::{Effect, Table, World};
+use super::state::{Effect, PlatformState, Table};
 
-/// What happens to streams of one assigner.
+/// What happens to the streams of one assigner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamTrouble {
-    /// Some are reset, and back soon.
+    /// Some streams are reset and soon return.
     Reset,
-    /// One is silent and goes on as if nothing had been.
+    /// One stream is silent and then resumes as if nothing had happened.
     Silent,
-    /// One is silent, breaks, and is back.
+    /// One stream is silent, breaks, and returns.
     SilentThenGone,
-    /// One breaks and is back again and again, each second.
+    /// One stream breaks and returns each second.
     Flapping,
-    /// All are reset one after the other.
+    /// All streams are reset one after the other.
     Restarts,
-    /// Those of a zone are reset at once.
+    /// All streams of a zone are reset at once.
     Zone,
-    /// One proxy's answers to marks are lost.
+    /// Acknowledgements of one proxy are lost.
     LostAnswers,
-    /// One proxy's answers to marks come late.
+    /// Acknowledgements of one proxy come late.
     LateAnswers,
 }
 
-/// All of them.
+/// All kinds of stream trouble.
 pub const STREAM_TROUBLES: [StreamTrouble; 8] = [
     StreamTrouble::Reset,
     StreamTrouble::Silent,
@@ -45,101 +46,103 @@
     StreamTrouble::LateAnswers,
 ];
 
-/// Part of the streams that are reset at a time.
-const RESET_PART: f64 = 0.25;
-/// The relay notices a broken stream within this.
-const NOTICED_WITHIN: Duration = Duration::from_millis(2600);
-/// A broken stream is back within this.
-const BACK_WITHIN: Duration = Duration::from_secs(2);
-/// A stream that flaps stands for so long, and is away for so long.
-const FLAP_STANDS: Duration = Duration::from_millis(500);
-const FLAP_AWAY: Duration = Duration::from_millis(500);
-/// Between two of a series of restarts.
-const RESTARTS_EVERY: Duration = Duration::from_millis(300);
-/// Answers come late by this.
-const ANSWERS_LATE: Duration = Duration::from_millis(2500);
+/// The fraction of the streams that are reset at once.
+const RESET_FRACTION: f64 = 0.25;
+/// The longest time until the relay notices a broken stream.
+const MAX_NOTICE_DELAY: Duration = Duration::from_millis(2600);
+/// The longest time until a broken stream returns.
+const MAX_RETURN_DELAY: Duration = Duration::from_secs(2);
+/// How long a flapping stream is up, and how long it is down.
+const FLAP_UP_TIME: Duration = Duration::from_millis(500);
+const FLAP_DOWN_TIME: Duration = Duration::from_millis(500);
+/// Time between two resets in a series of restarts.
+const RESTART_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay of late acknowledgements.
+const ACK_DELAY: Duration = Duration::from_millis(2500);
 
-/// The proxy whose stream is lost where marks are sabotaged.
-const SABOTAGED: usize = 0;
+/// The proxy whose stream is lost when acknowledgements are sabotaged.
+const SABOTAGED_PROXY: usize = 0;
 
-/// How a stream stands.
+/// Whether a stream is up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum StreamState {
     #[default]
     Up,
-    /// It is lost, whether the relay has noticed or not.
+    /// The stream is lost, whether or not the relay has noticed.
     Lost,
 }
 
 /// A proxy's stream to one assigner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stream {
-    pub state: State,
-    /// The assigner was told that the proxy has left.
+    pub state: StreamState,
+    /// The assigner was notified that the proxy has left.
     pub left: bool,
-    /// The proxy reads the store then.
-    pub reads_at: Option<Duration>,
-    /// Answers to marks are lost, or late, until then.
-    pub answers_lost_until: Duration,
-    pub answers_late_until: Duration,
-    /// It goes on where it fell silent: the last mark reaches it with all that waited.
-    owes_answer: bool,
-    /// Each loss has a number of its own; what was planned for an earlier one no longer happens.
+    /// When the proxy reads the store.
+    pub store_read_at: Option<Duration>,
+    /// Acknowledgements are lost, or late, until then.
+    pub acks_lost_until: Duration,
+    pub acks_late_until: Duration,
+    /// The stream resumes after a silence: the proxy then receives the last acknowledgement request
+    /// with all that was queued.
+    owes_ack: bool,
+    /// The number of losses so far. A step that was planned for an earlier loss is skipped.
     losses: u32,
 }
 
-/// What is planned for a stream.
+/// A planned step of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
+enum StreamStep {
     Lose,
     Notice,
     Return,
-    /// It goes on without a word.
+    /// The stream resumes without a notification.
     Resume,
 }
 
-/// A step that is due at a time, for the loss with a number.
+/// A step with its due time and the loss that it belongs to.
 #[derive(Clone, Copy, Debug)]
-pub struct Planned {
+pub struct PlannedStep {
     at: Duration,
     proxy: usize,
     node: usize,
-    step: Step,
-    /// `None`: whatever has happened.
+    step: StreamStep,
+    /// `None` if the step applies to any loss.
     loss: Option<u32>,
 }
 
-/// A proxy's answer to a mark, on its way to the assigner.
+/// A proxy's acknowledgement on its way to the assigner.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct Ack {
     at: Duration,
     proxy: usize,
     node: usize,
-    mark: u16,
-    /// From the order until it took effect.
-    way: Duration,
+    ack_seq: u16,
+    /// Time from sending the order until it took effect.
+    transit: Duration,
 }
 
-impl World {
+impl PlatformState {
     /// Whether a proxy counts as joined to the holder of a slice.
     pub fn is_joined(&self, proxy: usize, slice: usize) -> bool {
         let holder = self.slices[slice].holder;
-        holder.is_some_and(|node| self.streams[proxy][node].state == State::Up)
+        holder.is_some_and(|node| self.streams[proxy][node].state == StreamState::Up)
     }
 
-    /// Whether a proxy sends writes of a slice: its stream stands, or its lease runs.
+    /// Whether a proxy may send writes of a slice: its stream is up, or its write lease has not
+    /// expired.
     pub fn may_write(&self, proxy: usize, slice: usize) -> bool {
         self.write_leases[proxy][slice].is_none_or(|end| self.now() < end)
     }
 
-    /// Something happens to streams of an assigner for a time.
-    pub fn trouble_streams(&mut self, node: usize, trouble: StreamTrouble, time: Duration) {
+    /// Applies a trouble to streams of an assigner for a time.
+    pub fn apply_stream_trouble(&mut self, node: usize, trouble: StreamTrouble, time: Duration) {
         let now = self.now();
         let all: Vec<usize> = (0..self.proxies).collect();
         let one = self.random.random_range(0..self.proxies);
         match trouble {
             StreamTrouble::Reset => {
-                let count = (self.proxies as f64 * RESET_PART).ceil() as usize;
+                let count = (self.proxies as f64 * RESET_FRACTION).ceil() as usize;
                 let some: Vec<usize> = all.choose_multiple(&mut self.random, count).copied().collect();
                 some.into_iter().for_each(|proxy| self.reset_stream(proxy, node, now));
             }
@@ -149,76 +152,76 @@
                 here.for_each(|proxy| self.reset_stream(proxy, node, now));
             }
             StreamTrouble::Restarts => {
-                for (place, proxy) in all.into_iter().enumerate() {
-                    self.reset_stream(proxy, node, now + RESTARTS_EVERY * place as u32);
+                for (index, proxy) in all.into_iter().enumerate() {
+                    self.reset_stream(proxy, node, now + RESTART_INTERVAL * index as u32);
                 }
             }
             StreamTrouble::Flapping => {
                 let mut at = now;
                 while at < now + time {
-                    self.plan(at, one, node, Step::Lose);
-                    self.plan(at, one, node, Step::Notice);
-                    self.plan(at + FLAP_AWAY, one, node, Step::Return);
-                    at += FLAP_AWAY + FLAP_STANDS;
+                    self.plan(at, one, node, StreamStep::Lose);
+                    self.plan(at, one, node, StreamStep::Notice);
+                    self.plan(at + FLAP_DOWN_TIME, one, node, StreamStep::Return);
+                    at += FLAP_DOWN_TIME + FLAP_UP_TIME;
                 }
             }
             StreamTrouble::Silent => {
                 self.lose_stream(one, node);
-                self.plan_for_loss(now + time, one, node, Step::Resume);
+                self.plan_for_loss(now + time, one, node, StreamStep::Resume);
             }
             StreamTrouble::SilentThenGone => {
                 self.lose_stream(one, node);
-                self.plan_for_loss(now + time, one, node, Step::Notice);
-                self.plan_for_loss(now + time + FLAP_AWAY, one, node, Step::Return);
+                self.plan_for_loss(now + time, one, node, StreamStep::Notice);
+                self.plan_for_loss(now + time + FLAP_DOWN_TIME, one, node, StreamStep::Return);
             }
-            StreamTrouble::LostAnswers => self.streams[one][node].answers_lost_until = now + time,
-            StreamTrouble::LateAnswers => self.streams[one][node].answers_late_until = now + time,
+            StreamTrouble::LostAnswers => self.streams[one][node].acks_lost_until = now + time,
+            StreamTrouble::LateAnswers => self.streams[one][node].acks_late_until = now + time,
         }
     }
 
-    /// A stream breaks, is noticed and comes back.
+    /// Plans that a stream breaks, is noticed and returns.
     fn reset_stream(&mut self, proxy: usize, node: usize, at: Duration) {
-        let noticed = at + self.random.random_range(Duration::ZERO..NOTICED_WITHIN);
-        let back = noticed + self.random.random_range(Duration::from_millis(100)..BACK_WITHIN);
-        self.plan(at, proxy, node, Step::Lose);
-        self.plan(noticed, proxy, node, Step::Notice);
-        self.plan(back, proxy, node, Step::Return);
+        let noticed_at = at + self.random.random_range(Duration::ZERO..MAX_NOTICE_DELAY);
+        let back = noticed_at + self.random.random_range(Duration::from_millis(100)..MAX_RETURN_DELAY);
+        self.plan(at, proxy, node, StreamStep::Lose);
+        self.plan(noticed_at, proxy, node, StreamStep::Notice);
+        self.plan(back, proxy, node, StreamStep::Return);
     }
 
-    fn plan(&mut self, at: Duration, proxy: usize, node: usize, step: Step) {
-        self.planned.push(Planned { at, proxy, node, step, loss: None });
+    fn plan(&mut self, at: Duration, proxy: usize, node: usize, step: StreamStep) {
+        self.planned.push(PlannedStep { at, proxy, node, step, loss: None });
     }
 
-    fn plan_for_loss(&mut self, at: Duration, proxy: usize, node: usize, step: Step) {
+    fn plan_for_loss(&mut self, at: Duration, proxy: usize, node: usize, step: StreamStep) {
         let loss = Some(self.streams[proxy][node].losses);
-        self.planned.push(Planned { at, proxy, node, step, loss });
+        self.planned.push(PlannedStep { at, proxy, node, step, loss });
     }
 
-    /// Does what is due to streams.
-    pub(super) fn step_streams(&mut self) {
+    /// Performs the planned steps that are due.
+    pub(super) fn run_planned_steps(&mut self) {
         let now = self.now();
-        let mut due: Vec<Planned> = self.planned.extract_if(.., |planned| planned.at <= now).collect();
+        let mut due: Vec<PlannedStep> = self.planned.extract_if(.., |planned| planned.at <= now).collect();
         due.sort_by_key(|planned| planned.at);
-        for Planned { proxy, node, step, loss, .. } in due {
+        for PlannedStep { proxy, node, step, loss, .. } in due {
             let stream = self.streams[proxy][node];
             if loss.is_some_and(|loss| loss != stream.losses) {
                 continue;
             }
             match step {
-                Step::Lose => self.lose_stream(proxy, node),
-                Step::Notice => self.notice(proxy, node),
-                Step::Return if stream.left => self.join(proxy, node),
-                Step::Resume if stream.state == State::Lost && !stream.left => {
-                    self.streams[proxy][node].owes_answer = true;
-                    self.come_up(proxy, node);
+                StreamStep::Lose => self.lose_stream(proxy, node),
+                StreamStep::Notice => self.notice_loss(proxy, node),
+                StreamStep::Return if stream.left => self.rejoin(proxy, node),
+                StreamStep::Resume if stream.state == StreamState::Lost && !stream.left => {
+                    self.streams[proxy][node].owes_ack = true;
+                    self.bring_up(proxy, node);
                 }
-                Step::Return | Step::Resume => {}
+                StreamStep::Return | StreamStep::Resume => {}
             }
         }
         for proxy in 0..self.proxies {
             for node in 0..self.nodes.len() {
-                let reads_at = &mut self.streams[proxy][node].reads_at;
-                if reads_at.take_if(|at| *at <= now).is_some() {
+                let store_read_at = &mut self.streams[proxy][node].store_read_at;
+                if store_read_at.take_if(|at| *at <= now).is_some() {
                     self.read_store(proxy, node);
                 }
             }
@@ -228,46 +231,46 @@
     fn lose_stream(&mut self, proxy: usize, node: usize) {
         let now = self.now();
         let stream = &mut self.streams[proxy][node];
-        if stream.state == State::Lost {
+        if stream.state == StreamState::Lost {
             return;
         }
-        (stream.state, stream.reads_at, stream.owes_answer) = (State::Lost, None, false);
+        (stream.state, stream.store_read_at, stream.owes_ack) = (StreamState::Lost, None, false);
         stream.losses += 1;
         self.note(format!("proxy {proxy} loses its stream to n{node}"));
-        self.lose_messages(proxy, node);
+        self.drop_messages(proxy, node);
         for slice in (0..SLICES).filter(|slice| self.slices[*slice].holder == Some(node)).collect::<Vec<_>>()
         {
             self.start_lease(proxy, slice, now);
         }
     }
 
-    /// A write lease that runs already is not made longer.
+    /// Starts a write lease; one that already runs is not extended.
     pub(super) fn start_lease(&mut self, proxy: usize, slice: usize, from: Duration) {
         let lease = &mut self.write_leases[proxy][slice];
         lease.get_or_insert(from + WRITE_LEASE);
     }
 
-    /// The relay notices a lost stream and tells the assigner.
-    fn notice(&mut self, proxy: usize, node: usize) {
+    /// The relay notices a lost stream and notifies the assigner.
+    fn notice_loss(&mut self, proxy: usize, node: usize) {
         let stream = &mut self.streams[proxy][node];
-        if stream.state == State::Lost && !stream.left {
+        if stream.state == StreamState::Lost && !stream.left {
             stream.left = true;
-            self.tell(node, &format!("* bye {proxy}\r\n"));
+            self.notify(node, &format!("* bye {proxy}\r\n"));
         }
     }
 
-    fn join(&mut self, proxy: usize, node: usize) {
+    fn rejoin(&mut self, proxy: usize, node: usize) {
         self.streams[proxy][node].left = false;
         let zone = ZONES[proxy % ZONES.len()];
-        self.tell(node, &format!("* hello {proxy} {zone} 5.0 0\r\n"));
-        self.come_up(proxy, node);
+        self.notify(node, &format!("* hello {proxy} {zone} 5.0 0\r\n"));
+        self.bring_up(proxy, node);
     }
 
-    fn come_up(&mut self, proxy: usize, node: usize) {
-        let within = self.random.random_range(Duration::ZERO..READS_STORE_WITHIN);
-        let reads_at = self.now() + within;
+    fn bring_up(&mut self, proxy: usize, node: usize) {
+        let within = self.random.random_range(Duration::ZERO..MAX_STORE_READ_DELAY);
+        let store_read_at = self.now() + within;
         let stream = &mut self.streams[proxy][node];
-        (stream.state, stream.reads_at) = (State::Up, Some(reads_at));
+        (stream.state, stream.store_read_at) = (StreamState::Up, Some(store_read_at));
         self.note(format!("proxy {proxy} has its stream to n{node} back"));
     }
 
@@ -279,9 +282,9 @@
             }
         }
         self.note(format!("proxy {proxy} has read the store of n{node}"));
-        let owes = std::mem::take(&mut self.streams[proxy][node].owes_answer);
-        if let Some(mark) = self.nodes[node].last_mark.filter(|_| owes) {
-            self.answer_mark(proxy, node, mark, Duration::ZERO);
+        let owes_ack = std::mem::take(&mut self.streams[proxy][node].owes_ack);
+        if let Some(ack_seq) = self.nodes[node].last_ack_seq.filter(|_| owes_ack) {
+            self.send_ack(proxy, node, ack_seq, Duration::ZERO);
         }
     }
 
@@ -291,12 +294,13 @@
         self.write_leases[proxy][slice] = None;
     }
 
-    /// A slice has changed hands: proxies whose streams to its holder stand read it; the others go on for a lease.
-    pub(super) fn hand_over(&mut self, slice: usize) {
+    /// Handles a change of a slice's holder: proxies whose stream to the new holder is up read the
+    /// slice; the others continue for a write lease.
+    pub(super) fn on_holder_change(&mut self, slice: usize) {
         let now = self.now();
         for proxy in 0..self.proxies {
             let stream = self.slices[slice].holder.map(|node| self.streams[proxy][node]);
-            let reads = |stream: Stream| stream.state == State::Up && stream.reads_at.is_none();
+            let reads = |stream: Stream| stream.state == StreamState::Up && stream.store_read_at.is_none();
             if stream.map_or(self.write_leases[proxy][slice].is_none(), reads) {
                 self.read_slice(proxy, slice);
             } else {
@@ -305,50 +309,51 @@
         }
     }
 
-    /// A proxy answers a mark.
-    pub(super) fn answer_mark(&mut self, proxy: usize, node: usize, mark: u16, way: Duration) {
+    /// A proxy sends an acknowledgement, unless its acknowledgements are currently lost.
+    pub(super) fn send_ack(&mut self, proxy: usize, node: usize, ack_seq: u16, transit: Duration) {
         let (now, stream) = (self.now(), self.streams[proxy][node]);
-        if now < stream.answers_lost_until {
+        if now < stream.acks_lost_until {
             return;
         }
-        let late = if now < stream.answers_late_until { ANSWERS_LATE } else { Duration::ZERO };
-        self.answers.push(Answer { at: now + late, proxy, node, mark, way: way + late });
+        let late = if now < stream.acks_late_until { ACK_DELAY } else { Duration::ZERO };
+        self.acks.push(Ack { at: now + late, proxy, node, ack_seq, transit: transit + late });
     }
 
-    /// Where marks are sabotaged one proxy loses its stream just before each order that stops writes.
-    pub(super) fn lose_stops(&mut self, node: usize, effects: &[Effect]) {
+    /// If acknowledgements are sabotaged, one proxy loses its stream just before each order that
+    /// stops writes.
+    pub(super) fn lose_stream_before_stops(&mut self, node: usize, effects: &[Effect]) {
         let stops = |effect: &Effect| match effect {
             Effect::Level { share, .. } => *share == 0.0,
             Effect::Line { server, .. } => server.is_none(),
-            Effect::Mark { .. } => false,
+            Effect::AckRequest { .. } => false,
         };
-        let stands = self.streams[SABOTAGED][node].state == State::Up;
-        if self.sabotage == Some(Sabotage::EarlyAnswers) && stands && effects.iter().any(stops) {
-            self.lose_stream(SABOTAGED, node);
-            self.plan_for_loss(self.now() + WRITE_LEASE, SABOTAGED, node, Step::Resume);
+        let is_up = self.streams[SABOTAGED_PROXY][node].state == StreamState::Up;
+        if self.sabotage == Some(Sabotage::EarlyAnswers) && is_up && effects.iter().any(stops) {
+            self.lose_stream(SABOTAGED_PROXY, node);
+            self.plan_for_loss(self.now() + WRITE_LEASE, SABOTAGED_PROXY, node, StreamStep::Resume);
         }
     }
 
-    /// Where marks are sabotaged a proxy answers those that do not reach it.
-    pub(super) fn answer_unread_marks(&mut self, proxy: usize, effects: &[Effect]) {
+    /// If acknowledgements are sabotaged, a proxy acknowledges requests that do not reach it.
+    pub(super) fn ack_unreceived(&mut self, proxy: usize, effects: &[Effect]) {
         if self.sabotage != Some(Sabotage::EarlyAnswers) {
             return;
         }
         for effect in effects {
-            if let Effect::Mark { node, mark } = *effect {
-                self.answer_mark(proxy, node, mark, Duration::ZERO);
+            if let Effect::AckRequest { node, ack_seq } = *effect {
+                self.send_ack(proxy, node, ack_seq, Duration::ZERO);
             }
         }
     }
 
-    /// Tells answers that are due.
-    pub(super) fn tell_answers(&mut self) {
+    /// Delivers the acknowledgements that are due.
+    pub(super) fn deliver_acks(&mut self) {
         let now = self.now();
-        let due: Vec<Answer> = self.answers.extract_if(.., |answer| answer.at <= now).collect();
-        for Answer { proxy, node, mark, way, .. } in due {
+        let due: Vec<Ack> = self.acks.extract_if(.., |answer| answer.at <= now).collect();
+        for Ack { proxy, node, ack_seq, transit, .. } in due {
             if !self.streams[proxy][node].left {
-                let way = way.as_secs_f64() * 1e3;
-                self.tell(node, &format!("* ack {proxy} {mark} {way:.1}\r\n"));
+                let transit = transit.as_secs_f64() * 1e3;
+                self.notify(node, &format!("* ack {proxy} {ack_seq} {transit:.1}\r\n"));
             }
         }
     }
