--- a/crates/whinhill-standins/src/platform/traffic.rs
+++ b/crates/whinhill-standins/src/platform/traffic.rs
@@ -1,5 +1,5 @@
-//! RPCs that clients send through the proxies, drawn once for both worlds. What the judged one met is added up for
-//! the collectors' reports.
+//! RPCs that clients send through the proxies, drawn once for both data planes. The outcomes in the
+//! tested plane are summed for the collectors' reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,174 +7,177 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::cold::ColdAudit;
-use super::oracle::Oracle;
-use super::page::{HOLD, SLICES, ZONES};
-use super::plane::{DataPlane, Plane, Rpc, Step};
-use super::streams::State;
-use super::world::World;
+use super::cold_budget::ColdBudgetAudit;
+use super::data_plane::{DataPlane, Disposition, Plane, Rpc};
+use super::parameters::{MAX_HOLD_TIME, SLICES, ZONES};
+use super::reference::ReferencePolicy;
+use super::state::PlatformState;
+use super::streams::StreamState;
 use super::writers::WriterAudit;
 
-/// RPCs a second, of all classes and slices.
-const RATE: f64 = 240.0;
-/// Work of one RPC at a server that is well and warm, evenly spread.
-const WORK: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(40));
+/// RPCs per second, of all classes and slices.
+const RPCS_PER_S: f64 = 240.0;
+/// Range of the work of one RPC at a healthy and warm server, uniformly distributed, and its mean.
+const MIN_WORK: Duration = Duration::from_millis(10);
+const MAX_WORK: Duration = Duration::from_millis(40);
 pub const MEAN_WORK: Duration = Duration::from_millis(25);
-/// The share of RPCs that write.
-const WRITES: f64 = 0.3;
-/// Slices are in demand by the square of an even draw.
-const SKEW: f64 = 2.0;
-/// Windows start this long after an assigner's first answer even where a proxy has no line yet.
-const LINES_WITHIN: Duration = Duration::from_secs(3);
-
-/// What proxies of a zone met at a server.
+/// The fraction of RPCs that write.
+const WRITE_FRACTION: f64 = 0.3;
+/// The number of a slice is drawn as a uniform value to this power, so that lower numbers get more
+/// load.
+const POPULARITY_EXPONENT: f64 = 2.0;
+/// Windows start this long after an assigner's first answer even if a proxy has no line yet.
+const MAX_WAIT_FOR_LINES: Duration = Duration::from_secs(3);
+
+/// The outcomes that the proxies of a zone had at a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
+pub struct ServerOutcomes {
     pub count: u64,
     pub fail: u64,
     pub sum_ms: f64,
 }
 
-/// What came for a slice.
+/// The demand of a slice in one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     pub count: u64,
     pub fail: u64,
 }
 
-/// Sums since the collectors last asked, by assigner.
+/// Sums for one assigner since the collectors' last report.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
-    pub met: BTreeMap<(usize, usize), Met>,
+pub struct ReportSums {
+    pub outcomes: BTreeMap<(usize, usize), ServerOutcomes>,
     pub demand: BTreeMap<(usize, usize), Demand>,
 }
 
-/// An answer, or the want of one, on its way back to the proxy that counts it.
+/// An answer or a failure on its way back to the proxy that counts it.
 #[derive(Clone, Copy, Debug)]
-struct Returning {
+struct ReturningAnswer {
     at: Duration,
     node: usize,
-    /// The proxy's zone, and the server.
+    /// The proxy's zone and the server.
     key: (usize, usize),
     failed: bool,
     took: Duration,
 }
 
-/// RPCs a second for a slice, where the load is as usual.
+/// RPCs per second for a slice at the usual load.
 pub fn expected_rate(slice: usize) -> f64 {
-    let below = |slice: usize| (slice as f64 / SLICES as f64).powf(1.0 / SKEW);
-    RATE * (below(slice + 1) - below(slice))
+    let below = |slice: usize| (slice as f64 / SLICES as f64).powf(1.0 / POPULARITY_EXPONENT);
+    RPCS_PER_S * (below(slice + 1) - below(slice))
 }
 
-/// The clients, and both worlds that they meet.
+/// The clients and both data planes.
 pub struct Traffic {
     random: ChaCha8Rng,
-    last: Duration,
-    owed: f64,
-    answers: Vec<Returning>,
-    oracle: Oracle,
-    pub cold: ColdAudit,
+    last_advance: Duration,
+    rpc_credit: f64,
+    answers: Vec<ReturningAnswer>,
+    policy: ReferencePolicy,
+    pub cold_budget: ColdBudgetAudit,
     pub writers: WriterAudit,
-    pub judged: DataPlane,
+    pub tested: DataPlane,
     pub reference: DataPlane,
-    /// Windows have started.
-    counts: bool,
-    pub sums: Vec<Sums>,
+    /// The windows have started.
+    windows_started: bool,
+    pub report_sums: Vec<ReportSums>,
 }
 
 impl Traffic {
-    /// No RPC yet.
+    /// Creates traffic without RPCs.
     pub fn new(nodes: usize, proxies: usize, seed: u64) -> Self {
         Traffic {
             random: ChaCha8Rng::seed_from_u64(seed ^ 0x7aff),
-            last: Duration::ZERO,
-            owed: 0.0,
+            last_advance: Duration::ZERO,
+            rpc_credit: 0.0,
             answers: Vec::new(),
-            oracle: Oracle::new(proxies, seed),
-            cold: ColdAudit::default(),
+            policy: ReferencePolicy::new(proxies, seed),
+            cold_budget: ColdBudgetAudit::default(),
             writers: WriterAudit::default(),
-            judged: DataPlane::new(Plane::Judged),
+            tested: DataPlane::new(Plane::Tested),
             reference: DataPlane::new(Plane::Reference),
-            counts: false,
-            sums: vec![Sums::default(); nodes],
+            windows_started: false,
+            report_sums: vec![ReportSums::default(); nodes],
         }
     }
 
-    /// Plays what came since the last call.
-    pub fn play(&mut self, world: &mut World) {
-        self.oracle.play(world);
-        self.start_windows(world);
-        let arrivals = self.draw(world);
-        for (rpc, step) in self.judged.play(world, None, &arrivals) {
-            self.count(world, rpc, step);
+    /// Processes the RPCs that have arrived since the last call.
+    pub fn advance(&mut self, platform: &mut PlatformState) {
+        self.policy.update(platform);
+        self.start_windows(platform);
+        let arrivals = self.draw_arrivals(platform);
+        for (rpc, disposition) in self.tested.process(platform, None, &arrivals) {
+            self.account_for(platform, rpc, disposition);
         }
-        self.reference.play(world, Some(&self.oracle.tables), &arrivals);
-        self.pass_answers_on(world.now());
+        self.reference.process(platform, Some(&self.policy.tables), &arrivals);
+        self.deliver_answers(platform.now());
     }
 
-    /// Windows start once an assigner is ready and all slices have servers.
-    fn start_windows(&mut self, world: &World) {
-        let now = world.now();
-        let first = world.nodes.iter().filter_map(|node| node.first_answer).min();
-        let Some(first) = first.filter(|_| !self.counts && self.oracle.is_ready()) else { return };
-        let has_lines = world.tables.iter().flatten().all(|table| table.server.is_some());
-        if has_lines || now >= first + LINES_WITHIN {
-            self.counts = true;
-            self.judged.tally.start(now);
-            self.reference.tally.start(now);
+    /// Starts the windows once an assigner is ready and all slices have servers.
+    fn start_windows(&mut self, platform: &PlatformState) {
+        let now = platform.now();
+        let first = platform.nodes.iter().filter_map(|node| node.first_answer_at).min();
+        let Some(first) = first.filter(|_| !self.windows_started && self.policy.is_ready()) else { return };
+        let has_lines = platform.tables.iter().flatten().all(|table| table.server.is_some());
+        if has_lines || now >= first + MAX_WAIT_FOR_LINES {
+            self.windows_started = true;
+            self.tested.counts.start(now);
+            self.reference.counts.start(now);
         }
     }
 
-    fn draw(&mut self, world: &World) -> Vec<Rpc> {
-        let now = world.now();
-        self.owed += RATE * world.rate_times * now.saturating_sub(self.last).as_secs_f64();
-        self.last = now;
-        let count = self.owed as usize;
-        self.owed -= count as f64;
-        (0..count).map(|_| self.draw_one(now, world.proxies)).collect()
+    fn draw_arrivals(&mut self, platform: &PlatformState) -> Vec<Rpc> {
+        let now = platform.now();
+        self.rpc_credit +=
+            RPCS_PER_S * platform.load_factor * now.saturating_sub(self.last_advance).as_secs_f64();
+        self.last_advance = now;
+        let count = self.rpc_credit as usize;
+        self.rpc_credit -= count as f64;
+        (0..count).map(|_| self.draw_rpc(now, platform.proxies)).collect()
     }
 
-    fn draw_one(&mut self, now: Duration, proxies: usize) -> Rpc {
-        let slice = (self.random.random::<f64>().powf(SKEW) * SLICES as f64) as usize;
+    fn draw_rpc(&mut self, now: Duration, proxies: usize) -> Rpc {
+        let slice = (self.random.random::<f64>().powf(POPULARITY_EXPONENT) * SLICES as f64) as usize;
         Rpc {
             arrived: now,
-            held_until: now + HOLD,
+            held_until: now + MAX_HOLD_TIME,
             slice: slice.min(SLICES - 1),
             proxy: self.random.random_range(0..proxies),
-            class: usize::from(self.random.random_bool(WRITES)),
-            work: self.random.random_range(WORK.0..WORK.1),
-            dice: self.random.random(),
+            class: usize::from(self.random.random_bool(WRITE_FRACTION)),
+            work: self.random.random_range(MIN_WORK..MAX_WORK),
+            admission_draw: self.random.random(),
         }
     }
 
-    /// Adds up for the holder of the RPC's slice.
-    fn count(&mut self, world: &World, rpc: Rpc, step: Step) {
-        let Some(node) = world.slices[rpc.slice].holder else { return };
-        if matches!(step, Step::Held) {
+    /// Adds an RPC to the sums of its slice's holder.
+    fn account_for(&mut self, platform: &PlatformState, rpc: Rpc, disposition: Disposition) {
+        let Some(node) = platform.slices[rpc.slice].holder else { return };
+        if matches!(disposition, Disposition::Held) {
             return;
         }
-        if let Step::Sent { server, took, .. } = step {
-            self.cold.sent(world, &rpc, server);
-            self.writers.sent(world, &rpc, server, took);
+        if let Disposition::Sent { server, took, .. } = disposition {
+            self.cold_budget.sent(platform, &rpc, server);
+            self.writers.sent(platform, &rpc, server, took);
         }
-        if world.streams[rpc.proxy][node].state == State::Lost {
+        if platform.streams[rpc.proxy][node].state == StreamState::Lost {
             return;
         }
-        let demand = self.sums[node].demand.entry((rpc.slice, rpc.class)).or_default();
+        let demand = self.report_sums[node].demand.entry((rpc.slice, rpc.class)).or_default();
         demand.count += 1;
-        demand.fail += u64::from(matches!(step, Step::Refused));
-        if let Step::Sent { server, took, failed } = step {
+        demand.fail += u64::from(matches!(disposition, Disposition::Refused));
+        if let Disposition::Sent { server, took, failed } = disposition {
             let key = (rpc.proxy % ZONES.len(), server);
-            self.answers.push(Returning { at: world.now() + took, node, key, failed, took });
+            self.answers.push(ReturningAnswer { at: platform.now() + took, node, key, failed, took });
         }
     }
 
-    fn pass_answers_on(&mut self, now: Duration) {
+    fn deliver_answers(&mut self, now: Duration) {
         for answer in self.answers.extract_if(.., |answer| answer.at <= now) {
-            let met = self.sums[answer.node].met.entry(answer.key).or_default();
-            met.count += 1;
-            met.fail += u64::from(answer.failed);
-            met.sum_ms += if answer.failed { 0.0 } else { answer.took.as_secs_f64() * 1e3 };
+            let outcomes = self.report_sums[answer.node].outcomes.entry(answer.key).or_default();
+            outcomes.count += 1;
+            outcomes.fail += u64::from(answer.failed);
+            outcomes.sum_ms += if answer.failed { 0.0 } else { answer.took.as_secs_f64() * 1e3 };
         }
     }
 }
--- a/crates/whinhill-standins/src/platform/writers.rs
+++ b/crates/whinhill-standins/src/platform/writers.rs
@@ -1,59 +1,61 @@
-//! Writes that were sent: at one server at a time for each slice, and at no former owner once a later one had some.
+//! Audits the writes that were sent: each slice has one writing server at a time, and no write goes
+//! to a former owner after a later owner has received one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::audit::{Broken, Rule};
-use super::page::{CLASSES, IN_FLIGHT_MOST};
-use super::plane::Rpc;
-use super::world::World;
+use super::audit::{Rule, Violation};
+use super::data_plane::Rpc;
+use super::parameters::{CLASSES, MAX_IN_FLIGHT_TIME};
+use super::state::PlatformState;
 
-/// The server that took a slice's last write, since when it takes them, and until when one may be in hand.
+/// The server that received a slice's last write, since when it receives writes, and until when one
+/// may be in flight.
 #[derive(Clone, Copy, Debug)]
-struct Taker {
+struct Writer {
     server: usize,
     since: Duration,
-    in_hand_until: Duration,
+    in_flight_until: Duration,
 }
 
-/// Who takes the writes of each slice.
+/// Tracks the server that receives the writes of each slice.
 #[derive(Debug, Default)]
 pub struct WriterAudit {
-    takers: BTreeMap<usize, Taker>,
-    pub broken: Vec<Broken>,
+    writers: BTreeMap<usize, Writer>,
+    pub violations: Vec<Violation>,
 }
 
 impl WriterAudit {
-    /// An RPC was sent to a server, which takes so long.
-    pub fn sent(&mut self, world: &World, rpc: &Rpc, server: usize, took: Duration) {
+    /// Records an RPC that was sent to a server, and its duration.
+    pub fn sent(&mut self, platform: &PlatformState, rpc: &Rpc, server: usize, took: Duration) {
         if !CLASSES[rpc.class].writes {
             return;
         }
-        let now = world.now();
-        let in_hand_until = now + took.min(IN_FLIGHT_MOST);
-        let Some(taker) = self.takers.get_mut(&rpc.slice).filter(|taker| taker.server == server) else {
-            if let Some(former) = self.takers.get(&rpc.slice).copied() {
-                self.judge_new_taker(world, rpc, server, former);
+        let now = platform.now();
+        let in_flight_until = now + took.min(MAX_IN_FLIGHT_TIME);
+        let Some(writer) = self.writers.get_mut(&rpc.slice).filter(|writer| writer.server == server) else {
+            if let Some(former) = self.writers.get(&rpc.slice).copied() {
+                self.check_new_writer(platform, rpc, server, former);
             }
-            self.takers.insert(rpc.slice, Taker { server, since: now, in_hand_until });
+            self.writers.insert(rpc.slice, Writer { server, since: now, in_flight_until });
             return;
         };
-        taker.in_hand_until = taker.in_hand_until.max(in_hand_until);
+        writer.in_flight_until = writer.in_flight_until.max(in_flight_until);
     }
 
-    fn judge_new_taker(&mut self, world: &World, rpc: &Rpc, server: usize, former: Taker) {
-        let now = world.now();
-        let was_set = world.slices[rpc.slice].set_at.get(&server).copied().unwrap_or_default();
-        let what = if now < former.in_hand_until {
-            "while another has one in hand"
+    fn check_new_writer(&mut self, platform: &PlatformState, rpc: &Rpc, server: usize, former: Writer) {
+        let now = platform.now();
+        let was_set = platform.slices[rpc.slice].line_set_at.get(&server).copied().unwrap_or_default();
+        let conflict = if now < former.in_flight_until {
+            "while another has one in flight"
         } else if was_set < former.since {
-            "after a later owner has taken one"
+            "after a later owner has received one"
         } else {
             return;
         };
-        let [new, old] = [server, former.server].map(|server| &world.servers[server].name);
-        let (slice, proxy, holder) = (rpc.slice, rpc.proxy, world.slices[rpc.slice].holder);
-        let what = format!("slice {slice} of {holder:?}: proxy {proxy} writes at {new} {what} ({old})");
-        self.broken.push(Broken { rule: Rule::TwoWriters, at_ms: now.as_millis() as u64, what });
+        let [new, old] = [server, former.server].map(|server| &platform.servers[server].name);
+        let (slice, proxy, holder) = (rpc.slice, rpc.proxy, platform.slices[rpc.slice].holder);
+        let what = format!("slice {slice} of {holder:?}: proxy {proxy} writes at {new} {conflict} ({old})");
+        self.violations.push(Violation { rule: Rule::TwoWriters, at_ms: now.as_millis() as u64, what });
     }
 }
