--- a/crates/whinhill-standins/src/platform/clients.rs
+++ b/crates/whinhill-standins/src/platform/clients.rs
@@ -13,6 +13,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// The liveness probe, and the answer to it without the end of the line.
 const PROBE: &[u8] = b"{\"@type\":\"probe\"}\n";
 const ALIVE: &[u8] = b"{\"@type\":\"alive\"}";
 /// The longest message that a client reads; all valid messages are short.
--- a/crates/whinhill-standins/src/platform/cold_budget.rs
+++ b/crates/whinhill-standins/src/platform/cold_budget.rs
@@ -1,7 +1,7 @@
 //! Checks the work budget of cold servers. In no interval of `fall` may a cold server be sent more
-//! work than `fallMultiple` times its capacity in that interval. Only work counts against an
-//! assigner if at least two thirds of it came from proxies that were informed of the server's
-//! start.
+//! work than `fallMultiple` times its capacity in that interval. This is a
+//! violation only if at least two thirds of the work came from proxies that were informed of the
+//! server's start.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -39,7 +39,7 @@
 
 impl ColdBudgetAudit {
     /// Records an RPC that was sent to a server.
-    pub fn sent(&mut self, platform: &PlatformState, rpc: &Rpc, server: usize) {
+    pub fn record_sent(&mut self, platform: &PlatformState, rpc: &Rpc, server: usize) {
         let now = platform.now();
         let Some(started) = platform.servers[server].started.filter(|at| now < *at + WARM_UP_DURATION) else {
             self.sent.remove(&server);
--- a/crates/whinhill-standins/src/platform/discovery.rs
+++ b/crates/whinhill-standins/src/platform/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::parameters::{DISCOVERY_KEEPALIVE_INTERVAL, ZONES};
-use super::state::{PlatformState, SharedState};
+use super::state::{ListChange, PlatformState, SharedState, Status};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// How often a watch checks for changes.
@@ -82,16 +82,16 @@
 /// The changes after `since` that an assigner may see by now, or the full list.
 fn list_since(platform: &PlatformState, node: usize, since: Option<u64>) -> (u64, String) {
     let known = platform.now().saturating_sub(platform.nodes[node].list_delay);
-    let visible = |change: &&super::state::ListChange| change.at <= known;
+    let visible = |change: &&ListChange| change.at <= known;
     let version = platform.changes.iter().filter(visible).map(|change| change.version).max().unwrap_or(1);
     let is_full = since.is_none_or(|since| since == 0 || since > version);
     let mut entries = Vec::new();
     for (number, server) in platform.servers.iter().enumerate() {
-        let changed = |change: &super::state::ListChange| {
+        let changed = |change: &ListChange| {
             change.server == number && change.version > since.unwrap_or(0) && change.version <= version
         };
         let wanted = platform.changes.iter().any(changed);
-        if wanted && !(is_full && server.status == super::state::Status::Gone) {
+        if wanted && !(is_full && server.status == Status::Gone) {
             entries.push(serde_json::json!({
                 "name": server.name, "address": server.addr.to_string(), "zone": ZONES[server.zone], "type": "m",
                 "group": 0, "status": server.status.wire_name(), "weight": 1.0, "since_ms": server.started_unix_ms,
--- a/crates/whinhill-standins/src/platform/fleet.rs
+++ b/crates/whinhill-standins/src/platform/fleet.rs
@@ -80,8 +80,8 @@
             }
             Action::SilentZone { zone, time } => {
                 let ready = self.ready();
-                let here = |server: &usize| self.platform.lock().servers[*server].zone == zone;
-                let servers: Vec<usize> = ready.into_iter().filter(here).collect();
+                let is_in_zone = |server: &usize| self.platform.lock().servers[*server].zone == zone;
+                let servers: Vec<usize> = ready.into_iter().filter(is_in_zone).collect();
                 self.set(&servers, Condition::Silent, now + time, PendingChange::Recover);
             }
             Action::Backlog { share, by } => self.add_backlog(now, share, by),
--- a/crates/whinhill-standins/src/platform/node.rs
+++ b/crates/whinhill-standins/src/platform/node.rs
@@ -64,7 +64,8 @@
     discovery: Link,
 }
 
-/// Clients that were started together; `until` is when they are told to stop.
+/// Clients that were started together; `until` is when they are told to stop, or `None` if they run
+/// until the end.
 struct ClientGroup {
     until: Option<Duration>,
     clients: Clients,
@@ -105,7 +106,8 @@
     down: Duration,
     repairs: Vec<PathRepair>,
     lists_on_time_at: Option<Duration>,
-    reports: SyncSender<Vec<String>>,
+    /// To the thread of the collectors.
+    report_sender: SyncSender<Vec<String>>,
     client_groups: Vec<ClientGroup>,
     /// The link through which clients connect if their answers are sabotaged.
     sabotaged_link: Option<Link>,
@@ -144,7 +146,7 @@
             proxies: script.proxies,
             faults: None,
         };
-        let (reports, queued_reports) = sync_channel::<Vec<String>>(REPORT_QUEUE_LENGTH);
+        let (report_sender, queued_reports) = sync_channel::<Vec<String>>(REPORT_QUEUE_LENGTH);
         let mut collectors = Collectors::new(addr);
         thread::Builder::new()
             .name("collectors".into())
@@ -169,7 +171,7 @@
             down: Duration::ZERO,
             repairs: Vec::new(),
             lists_on_time_at: None,
-            reports,
+            report_sender,
             client_groups: Vec::new(),
             sabotaged_link: None,
             sabotage_at: Duration::ZERO,
@@ -339,6 +341,7 @@
         self.process.iter().for_each(|process| process.signal(signal));
     }
 
+    /// Sends a series of signals; SIGKILL follows the first SIGTERM after [`KILL_DELAY`].
     fn send_series(&mut self, now: Duration, terms: &[bool], down: Duration) -> io::Result<()> {
         for term in terms {
             if *term {
@@ -492,7 +495,7 @@
 
     /// Passes reports to the collectors; reports that find the queue full are lost.
     pub fn report(&self, texts: Vec<String>) {
-        let _ = self.reports.try_send(texts);
+        let _ = self.report_sender.try_send(texts);
     }
 
     /// Measures memory and descriptors and checks their limits.
--- a/crates/whinhill-standins/src/platform/script.rs
+++ b/crates/whinhill-standins/src/platform/script.rs
@@ -143,102 +143,44 @@
 pub enum Action {
     /// A series of signals, milliseconds apart: true is SIGTERM, false SIGHUP. The process starts
     /// again after `down`.
-    Series {
-        node: usize,
-        terms: Vec<bool>,
-        down: Duration,
-    },
-    Reload {
-        node: usize,
-    },
-    Kill {
-        node: usize,
-        down: Duration,
-    },
-    Pause {
-        node: usize,
-        time: Duration,
-    },
+    Series { node: usize, terms: Vec<bool>, down: Duration },
+    /// SIGHUP with new addresses of relay and discovery.
+    Reload { node: usize },
+    /// SIGKILL. The process starts again after `down`.
+    Kill { node: usize, down: Duration },
+    /// SIGSTOP, and SIGCONT after `time`.
+    Pause { node: usize, time: Duration },
     /// The connections of a path are reset, and new ones are refused for a time.
-    Cut {
-        node: usize,
-        path: Path,
-        time: Duration,
-    },
-    Stall {
-        node: usize,
-        path: Path,
-        direction: Direction,
-        time: Duration,
-    },
-    Delay {
-        node: usize,
-        path: Path,
-        by: Duration,
-        time: Duration,
-    },
-    LateLists {
-        node: usize,
-        by: Duration,
-        time: Duration,
-    },
+    Cut { node: usize, path: Path, time: Duration },
+    /// A path forwards nothing in one or both directions for a time.
+    Stall { node: usize, path: Path, direction: Direction, time: Duration },
+    /// A path delays what it forwards for a time.
+    Delay { node: usize, path: Path, by: Duration, time: Duration },
+    /// Server lists reach an assigner late by `by` for a time.
+    LateLists { node: usize, by: Duration, time: Duration },
     /// A fraction of the servers is silent for a time and then restarts.
-    Silence {
-        share: f64,
-        time: Duration,
-    },
-    Slow {
-        times: u32,
-        time: Duration,
-    },
-    Crowd {
-        node: usize,
-        clients: usize,
-        time: Duration,
-    },
+    Silence { share: f64, time: Duration },
+    /// A server is slower by a factor for a time.
+    Slow { times: u32, time: Duration },
+    /// Additional clients connect to an assigner for a time.
+    Crowd { node: usize, clients: usize, time: Duration },
     /// A fraction of the servers changes its condition for a time.
-    Ill {
-        condition: Condition,
-        share: f64,
-        time: Duration,
-    },
-    SilentZone {
-        zone: usize,
-        time: Duration,
-    },
+    Ill { condition: Condition, share: f64, time: Duration },
+    /// All ready servers of a zone are silent for a time.
+    SilentZone { zone: usize, time: Duration },
     /// A fraction of the servers gets extra work of this duration on each worker.
-    Backlog {
-        share: f64,
-        by: Duration,
-    },
+    Backlog { share: f64, by: Duration },
     /// A fraction of the servers is removed from the list and returns cold.
-    Vanish {
-        share: f64,
-        time: Duration,
-    },
+    Vanish { share: f64, time: Duration },
     /// A fraction of the servers is replaced at once, with a multiple of the usual load.
-    Release {
-        share: f64,
-        rate_times: f64,
-        time: Duration,
-    },
+    Release { share: f64, rate_times: f64, time: Duration },
     /// Reports come late by this much, or not at all.
-    TroubledReports {
-        node: usize,
-        by: Option<Duration>,
-        time: Duration,
-    },
-    Pieces {
-        node: usize,
-        bytes: usize,
-        time: Duration,
-    },
+    TroubledReports { node: usize, by: Option<Duration>, time: Duration },
+    /// Byte proxies cut streams into pieces for a time: `bytes` on the paths of clients, longer ones to the
+    /// relay.
+    Pieces { node: usize, bytes: usize, time: Duration },
     /// Something happens to the streams of proxies.
-    Streams {
-        node: usize,
-        trouble: StreamTrouble,
-        time: Duration,
-    },
+    Streams { node: usize, trouble: StreamTrouble, time: Duration },
 }
 
 /// The script of a seed.
@@ -316,8 +258,13 @@
             Trouble::Paths => match random.random_range(0..3) {
                 0 => Action::Cut { node, path, time: time.mul_f64(0.5) },
                 1 => {
-                    let ways = [Direction::To, Direction::Back, Direction::Both];
-                    Action::Stall { node, path, direction: *ways.choose(random)?, time: time.mul_f64(0.8) }
+                    let directions = [Direction::To, Direction::Back, Direction::Both];
+                    Action::Stall {
+                        node,
+                        path,
+                        direction: *directions.choose(random)?,
+                        time: time.mul_f64(0.8),
+                    }
                 }
                 _ => {
                     Action::Delay { node, path, by: Duration::from_millis(random.random_range(5..60)), time }
--- a/crates/whinhill-standins/src/platform/soak.rs
+++ b/crates/whinhill-standins/src/platform/soak.rs
@@ -140,6 +140,7 @@
         Ok(soak)
     }
 
+    /// Runs the main loop until the end of the run.
     fn run_loop(mut self) -> io::Result<Report> {
         let (mut next_custody, mut next_measure, mut next_report) =
             (Duration::ZERO, Duration::ZERO, REPORT_PERIOD);
@@ -152,7 +153,7 @@
                 break;
             }
             while let Some((_, action)) = actions.next_if(|(at, _)| *at <= now) {
-                self.act(now, &action)?;
+                self.apply_action(now, &action)?;
             }
             for node in &mut self.nodes {
                 node.poll(now, &self.script, &mut self.violations)?;
@@ -201,7 +202,8 @@
         }
     }
 
-    fn act(&mut self, now: Duration, action: &Action) -> io::Result<()> {
+    /// Applies an action of the script.
+    fn apply_action(&mut self, now: Duration, action: &Action) -> io::Result<()> {
         self.platform.lock().note(format!("{action:?}"));
         match action {
             Action::Series { node, .. }
@@ -226,6 +228,7 @@
         }
     }
 
+    /// Stops the clients, collects all violations and writes the files of the run.
     fn finish(mut self, actions: usize) -> io::Result<Report> {
         let mut requests = RequestAudit::default();
         for node in &mut self.nodes {
--- a/crates/whinhill-standins/src/platform/state.rs
+++ b/crates/whinhill-standins/src/platform/state.rs
@@ -15,7 +15,7 @@
 
 use super::channel::Channel;
 use super::data_plane::{COLD_SLOWDOWN, PLANE_COUNT};
-use super::parameters::{CLASSES, SLICES, WARM_UP_DURATION, ZONES};
+use super::parameters::{CLASSES, MAX_DISCOVERY_DELAY, SLICES, WARM_UP_DURATION, ZONES};
 use super::sabotage::Sabotage;
 use super::streams::{Ack, PlannedStep, Stream, StreamState};
 use super::traffic::MEAN_WORK;
@@ -529,9 +529,7 @@
     /// Whether at least one server is ready, healthy and warm.
     pub fn has_warm_server(&self) -> bool {
         let now = self.now();
-        let warm = |started: Option<Duration>| {
-            started.is_none_or(|at| now >= at + super::parameters::WARM_UP_DURATION)
-        };
+        let warm = |started: Option<Duration>| started.is_none_or(|at| now >= at + WARM_UP_DURATION);
         self.servers
             .iter()
             .any(|s| s.status == Status::Ready && s.condition == Condition::Well && warm(s.started))
@@ -541,8 +539,6 @@
     pub fn informed_at(&self, node: usize, change: &ListChange) -> Duration {
         let publication =
             self.nodes[node].lists_published.iter().find(|(version, _)| *version >= change.version);
-        publication
-            .map_or(Duration::MAX, |(_, at)| *at)
-            .min(change.at + super::parameters::MAX_DISCOVERY_DELAY)
+        publication.map_or(Duration::MAX, |(_, at)| *at).min(change.at + MAX_DISCOVERY_DELAY)
     }
 }
--- a/crates/whinhill-standins/src/platform/streams.rs
+++ b/crates/whinhill-standins/src/platform/streams.rs
@@ -139,7 +139,7 @@
     pub fn apply_stream_trouble(&mut self, node: usize, trouble: StreamTrouble, time: Duration) {
         let now = self.now();
         let all: Vec<usize> = (0..self.proxies).collect();
-        let one = self.random.random_range(0..self.proxies);
+        let drawn = self.random.random_range(0..self.proxies);
         match trouble {
             StreamTrouble::Reset => {
                 let count = (self.proxies as f64 * RESET_FRACTION).ceil() as usize;
@@ -148,8 +148,8 @@
             }
             StreamTrouble::Zone => {
                 let zone = self.random.random_range(0..ZONES.len());
-                let here = all.into_iter().filter(|proxy| proxy % ZONES.len() == zone);
-                here.for_each(|proxy| self.reset_stream(proxy, node, now));
+                let in_zone = all.into_iter().filter(|proxy| proxy % ZONES.len() == zone);
+                in_zone.for_each(|proxy| self.reset_stream(proxy, node, now));
             }
             StreamTrouble::Restarts => {
                 for (index, proxy) in all.into_iter().enumerate() {
@@ -159,23 +159,23 @@
             StreamTrouble::Flapping => {
                 let mut at = now;
                 while at < now + time {
-                    self.plan(at, one, node, StreamStep::Lose);
-                    self.plan(at, one, node, StreamStep::Notice);
-                    self.plan(at + FLAP_DOWN_TIME, one, node, StreamStep::Return);
+                    self.plan(at, drawn, node, StreamStep::Lose);
+                    self.plan(at, drawn, node, StreamStep::Notice);
+                    self.plan(at + FLAP_DOWN_TIME, drawn, node, StreamStep::Return);
                     at += FLAP_DOWN_TIME + FLAP_UP_TIME;
                 }
             }
             StreamTrouble::Silent => {
-                self.lose_stream(one, node);
-                self.plan_for_loss(now + time, one, node, StreamStep::Resume);
+                self.lose_stream(drawn, node);
+                self.plan_for_loss(now + time, drawn, node, StreamStep::Resume);
             }
             StreamTrouble::SilentThenGone => {
-                self.lose_stream(one, node);
-                self.plan_for_loss(now + time, one, node, StreamStep::Notice);
-                self.plan_for_loss(now + time + FLAP_DOWN_TIME, one, node, StreamStep::Return);
+                self.lose_stream(drawn, node);
+                self.plan_for_loss(now + time, drawn, node, StreamStep::Notice);
+                self.plan_for_loss(now + time + FLAP_DOWN_TIME, drawn, node, StreamStep::Return);
             }
-            StreamTrouble::LostAnswers => self.streams[one][node].acks_lost_until = now + time,
-            StreamTrouble::LateAnswers => self.streams[one][node].acks_late_until = now + time,
+            StreamTrouble::LostAnswers => self.streams[drawn][node].acks_lost_until = now + time,
+            StreamTrouble::LateAnswers => self.streams[drawn][node].acks_late_until = now + time,
         }
     }
 
@@ -267,8 +267,8 @@
     }
 
     fn bring_up(&mut self, proxy: usize, node: usize) {
-        let within = self.random.random_range(Duration::ZERO..MAX_STORE_READ_DELAY);
-        let store_read_at = self.now() + within;
+        let read_delay = self.random.random_range(Duration::ZERO..MAX_STORE_READ_DELAY);
+        let store_read_at = self.now() + read_delay;
         let stream = &mut self.streams[proxy][node];
         (stream.state, stream.store_read_at) = (StreamState::Up, Some(store_read_at));
         self.note(format!("proxy {proxy} has its stream to n{node} back"));
--- a/crates/whinhill-standins/src/platform/traffic.rs
+++ b/crates/whinhill-standins/src/platform/traffic.rs
@@ -157,8 +157,8 @@
             return;
         }
         if let Disposition::Sent { server, took, .. } = disposition {
-            self.cold_budget.sent(platform, &rpc, server);
-            self.writers.sent(platform, &rpc, server, took);
+            self.cold_budget.record_sent(platform, &rpc, server);
+            self.writers.record_sent(platform, &rpc, server, took);
         }
         if platform.streams[rpc.proxy][node].state == StreamState::Lost {
             return;
--- a/crates/whinhill-standins/src/platform/writers.rs
+++ b/crates/whinhill-standins/src/platform/writers.rs
@@ -27,7 +27,7 @@
 
 impl WriterAudit {
     /// Records an RPC that was sent to a server, and its duration.
-    pub fn sent(&mut self, platform: &PlatformState, rpc: &Rpc, server: usize, took: Duration) {
+    pub fn record_sent(&mut self, platform: &PlatformState, rpc: &Rpc, server: usize, took: Duration) {
         if !CLASSES[rpc.class].writes {
             return;
         }
