--- a/crates/whinhill-proxy/src/forward.rs
+++ b/crates/whinhill-proxy/src/forward.rs
@@ -1,4 +1,5 @@
-//! Carries one RPC: slice, table, hold, a try, its answer back. Each wait ends by the RPC's own deadline.
+//! Forwards one RPC: finds its slice, routes it by the table, waits for the hold time if necessary, makes its tries and
+//! passes the answer back. Every wait ends at the RPC's deadline.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,66 +15,76 @@
 };
 use whinhill_xds::proto::OrcaLoadReport;
 
-use crate::hop;
-use crate::in_hand::Held;
+use crate::hop_headers;
+use crate::in_flight::ReadGuard;
 use crate::pick::Draws;
 use crate::pool::Pool;
-use crate::report;
+use crate::report::{LoadStats, TryResult};
+use crate::retry::{NextStep, RetryConditions, RetryState, TryOutcome};
 use crate::shared::{lock, Shared};
 use crate::table::{Refusal, Route, Source};
-use crate::trial::{Chances, Ended, Next, Trial};
 
-/// Carries the key by whose hash an RPC finds its slice.
+/// Contains the key whose hash determines the RPC's slice.
 pub const KEY_HEADER: &str = "whinhill-key";
-/// Says, on what is pushed back by the proxy itself, why.
+/// The reason, on RPCs that the proxy itself pushes back.
 pub const REFUSED_HEADER: &str = "whinhill-refused";
-/// When to come back, in milliseconds (gRFC A6).
+/// When the client may retry, in milliseconds (gRFC A6).
 pub const PUSHBACK_HEADER: &str = "grpc-retry-pushback-ms";
 /// Names the server that answered.
 pub const ANSWERED_BY: &str = "whinhill-answered-by";
-/// Tells the server which slice and epoch the RPC goes by, and who sent it.
+/// Tells the server the RPC's slice.
 pub const SLICE_HEADER: &str = "whinhill-slice";
+/// Tells the server the epoch of the table by which the RPC was sent.
 pub const EPOCH_HEADER: &str = "whinhill-epoch";
+/// Tells the server which proxy sent the RPC.
 pub const PROXY_HEADER: &str = "whinhill-proxy";
-/// The RPC's soft deadline, in milliseconds; the method's where it is missing.
+/// The RPC's soft deadline, in milliseconds; without it that of the method applies.
 pub const SOFT_DEADLINE_HEADER: &str = "whinhill-soft-deadline-ms";
-/// How much the RPC matters, 0 to 255; servers may shed by it.
+/// The RPC's criticality, 0 to 255; servers may shed load by it.
 pub const CRITICALITY_HEADER: &str = "whinhill-criticality";
-/// When to come back after a push-back.
-const COME_BACK: Duration = Duration::from_millis(250);
-/// Bytes of a request that are kept so that it can be sent again.
-const KEEP_MOST: usize = 64 << 10;
+/// When a client may retry after the proxy pushed its RPC back.
+const PUSHBACK_DELAY: Duration = Duration::from_millis(250);
+/// The most bytes of a request that are kept so that it can be sent again.
+const MAX_REPLAY_BYTES: usize = 64 << 10;
 
+/// Forwards the RPCs of one proxy.
 pub struct Forwarder {
     pub shared: Arc<Shared>,
     pub pool: Pool,
+    /// The proxy's name.
     pub id: String,
-    /// A write ends, well or badly, within this time: assigners settle that long.
+    /// Timeout of a write, whether it succeeds or fails: assigners wait this long for writes to end.
     pub settle: Duration,
+    /// Limits of request and answer bodies.
     pub body: BodyLimits,
 }
 
+/// A parsed RPC.
 struct Rpc {
     slice: SliceId,
     method: MethodId,
-    until: Instant,
+    /// The client's deadline, no later than the method's.
+    deadline: Instant,
     /// The client's soft deadline, no longer than the method's.
-    soft: Duration,
-    /// What goes on of its headers.
+    soft_deadline: Duration,
+    /// The headers that are forwarded.
     headers: HeaderMap,
 }
 
-/// How one RPC ended here, where its answer was not passed on.
-enum Refused {
-    /// It was passed on in part, and the client has been told that it broke off.
-    Told,
+/// How an RPC ended that got no complete, successful answer.
+enum RpcFailure {
+    /// Part of the answer was passed on, and the client has seen that it failed.
+    AlreadyAnswered,
+    /// The proxy pushes it back.
     PushedBack(Refusal),
-    /// The server's own word, as its head holds it.
-    AsServer(HeaderMap),
+    /// The server's status, in the head of its answer.
+    ServerStatus(HeaderMap),
+    /// The proxy answers with this status.
     Failed(Code, String),
 }
 
-fn header(name: &'static str, value: &str) -> Trailers {
+/// Trailers with one field.
+fn single_header(name: &'static str, value: &str) -> Trailers {
     let mut trailers = Trailers::new();
     if let Ok(value) = HeaderValue::from_str(value) {
         trailers.insert(HeaderName::from_static(name), value);
@@ -81,7 +92,7 @@
     trailers
 }
 
-/// A gRPC time-out: up to eight digits and a unit.
+/// Parses a gRPC timeout: up to eight digits and a unit.
 fn parse_timeout(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     if digits.len() > 8 || !digits.bytes().all(|digit| digit.is_ascii_digit()) {
@@ -101,135 +112,142 @@
 
 impl Forwarder {
     /// Answers one call; runs on a worker's thread.
-    pub fn carry(&self, call: ServerCall) {
-        // All that the RPC writes and drops on its way is written by this thread.
+    pub fn handle(&self, call: ServerCall) {
+        // Everything that this RPC writes to connections is written by this thread.
         let _turn = Turn::begin();
         let call = call;
         let grpc = call.header("content-type").is_some_and(|kind| kind.starts_with("application/grpc"));
         if !grpc {
             return call.refuse_http(http::StatusCode::UNSUPPORTED_MEDIA_TYPE);
         }
-        let rpc = match self.read(&call) {
+        let rpc = match self.parse(&call) {
             Ok(rpc) => rpc,
-            Err((code, why)) => return call.refuse(code, &why, Trailers::new()),
+            Err((code, message)) => return call.refuse(code, &message, Trailers::new()),
         };
-        let mut passage = Passage::new(call, self.body, KEEP_MOST);
+        let mut passage = Passage::new(call, self.body, MAX_REPLAY_BYTES);
         let counts = &self.shared.counts;
-        let counter = match self.serve(&rpc, &mut passage) {
+        let counter = match self.forward(&rpc, &mut passage) {
             Ok(()) => &counts.forwarded,
-            Err(Refused::PushedBack(why)) => {
-                let mut trailers = header(REFUSED_HEADER, why.name());
-                trailers.extend(header(PUSHBACK_HEADER, &COME_BACK.as_millis().to_string()));
-                passage.refuse(Code::Unavailable, &format!("pushed back: {}", why.name()), trailers);
+            Err(RpcFailure::PushedBack(refusal)) => {
+                let mut trailers = single_header(REFUSED_HEADER, refusal.name());
+                trailers.extend(single_header(PUSHBACK_HEADER, &PUSHBACK_DELAY.as_millis().to_string()));
+                passage.refuse(Code::Unavailable, &format!("pushed back: {}", refusal.name()), trailers);
                 &counts.refused
             }
-            Err(Refused::AsServer(head)) => {
+            Err(RpcFailure::ServerStatus(head)) => {
                 passage.answer_alone(head);
                 &counts.aborted
             }
-            Err(Refused::Failed(code, text)) => {
+            Err(RpcFailure::Failed(code, text)) => {
                 passage.refuse(code, &text, Trailers::new());
                 &counts.aborted
             }
-            Err(Refused::Told) => &counts.aborted,
+            Err(RpcFailure::AlreadyAnswered) => &counts.aborted,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn read(&self, call: &ServerCall) -> Result<Rpc, (Code, String)> {
-        let bad = |why: &str| (Code::InvalidArgument, why.to_string());
+    /// Validates the call's headers; an error is the status to answer with.
+    fn parse(&self, call: &ServerCall) -> Result<Rpc, (Code, String)> {
+        let invalid = |why: &str| (Code::InvalidArgument, why.to_string());
         let service = &self.shared.service;
         let method = service.methods.iter().position(|m| m.path == call.path());
         let method = method.ok_or_else(|| (Code::Unimplemented, "no such method".to_string()))?;
-        let about = &service.methods[method];
+        let spec = &service.methods[method];
         let key =
-            call.head.headers.get(KEY_HEADER).ok_or_else(|| bad("the header whinhill-key is missing"))?;
+            call.head.headers.get(KEY_HEADER).ok_or_else(|| invalid("the header whinhill-key is missing"))?;
         let slice = service.slice_of(key.as_bytes());
-        let asked = match call.header("grpc-timeout") {
-            Some(text) => parse_timeout(text).ok_or_else(|| bad("grpc-timeout is no span"))?,
-            None => about.deadline,
+        let requested = match call.header("grpc-timeout") {
+            Some(text) => parse_timeout(text).ok_or_else(|| invalid("grpc-timeout is no span"))?,
+            None => spec.deadline,
         };
-        let soft = match call.header(SOFT_DEADLINE_HEADER) {
+        let soft_deadline = match call.header(SOFT_DEADLINE_HEADER) {
             Some(text) => {
-                let count = text.parse().map_err(|_| bad("whinhill-soft-deadline-ms is no number"))?;
-                Duration::from_millis(count).min(about.soft_deadline)
+                let count = text.parse().map_err(|_| invalid("whinhill-soft-deadline-ms is no number"))?;
+                Duration::from_millis(count).min(spec.soft_deadline)
             }
-            None => about.soft_deadline,
+            None => spec.soft_deadline,
         };
         if call.header(CRITICALITY_HEADER).is_some_and(|text| text.parse::<u8>().is_err()) {
-            return Err(bad("whinhill-criticality is no number from 0 to 255"));
+            return Err(invalid("whinhill-criticality is no number from 0 to 255"));
         }
-        let headers = hop::request(&call.head.headers, &self.id)
+        let headers = hop_headers::request_headers(&call.head.headers, &self.id)
             .map_err(|error| (Code::FailedPrecondition, error.to_string()))?;
-        let until = call.came + asked.min(about.deadline);
-        Ok(Rpc { slice, method, until, soft, headers })
+        let deadline = call.came + requested.min(spec.deadline);
+        Ok(Rpc { slice, method, deadline, soft_deadline, headers })
     }
 
-    /// Serves it, or says what is to be answered.
-    fn serve(&self, rpc: &Rpc, passage: &mut Passage) -> Result<(), Refused> {
+    /// Passes on an answer, or returns how the RPC ended without one.
+    fn forward(&self, rpc: &Rpc, passage: &mut Passage) -> Result<(), RpcFailure> {
         let shared = &self.shared;
-        let holds = Instant::now() + shared.service.hold;
-        let level = shared.draw();
+        let hold_end = Instant::now() + shared.service.hold;
+        let level = shared.random();
         let method = &shared.service.methods[rpc.method];
-        let mut trial = Trial::new(method.effect, method.writes);
+        let mut retry = RetryState::new(method.effect, method.writes);
         loop {
-            let seen = shared.changes();
-            // Before the look at the table: a level that becomes 0 after it stops the try.
-            let held = (!method.writes).then(|| shared.in_hand.hold((rpc.slice, rpc.method)));
-            let (route, source) = shared.read(|table| {
-                let draws = Draws { level, first: shared.draw(), second: shared.draw() };
-                let route =
-                    table.route(shared.now(), rpc.slice, rpc.method, draws, |server| shared.out.of(server));
+            let seen_changes = shared.change_count();
+            // Registered before the table is read: a level that becomes 0 after that stops the try.
+            let read_guard =
+                (!method.writes).then(|| shared.reads_in_flight.register((rpc.slice, rpc.method)));
+            let (route, source) = shared.read_table(|table| {
+                let draws = Draws { level, first: shared.random(), second: shared.random() };
+                let route = table.route(shared.now(), rpc.slice, rpc.method, draws, |server| {
+                    shared.tries_in_flight.count(server)
+                });
                 (route, table.source_of(rpc.slice, rpc.method))
             });
-            let note = |act: &dyn Fn(&mut report::Met, Source)| {
+            let record = |update: &dyn Fn(&mut LoadStats, Source)| {
                 if let Some(source) = source {
-                    act(&mut lock(&shared.met), source);
+                    update(&mut lock(&shared.load_stats), source);
                 }
             };
             match route {
-                Route::Refuse(why) => {
-                    note(&|met, source| met.dropped(source, rpc.slice, rpc.method));
-                    return Err(Refused::PushedBack(why));
+                Route::Refuse(refusal) => {
+                    record(&|stats, source| stats.record_dropped(source, rpc.slice, rpc.method));
+                    return Err(RpcFailure::PushedBack(refusal));
                 }
-                Route::Wait(why) => {
-                    let until = holds.min(rpc.until);
+                Route::Wait(refusal) => {
+                    let until = hold_end.min(rpc.deadline);
                     if Instant::now() >= until {
-                        note(&|met, source| met.waited_out(source, rpc.slice, rpc.method));
-                        return Err(Refused::PushedBack(why));
+                        record(&|stats, source| stats.record_hold_expired(source, rpc.slice, rpc.method));
+                        return Err(RpcFailure::PushedBack(refusal));
                     }
-                    drop(held);
+                    drop(read_guard);
                     Turn::flush();
-                    shared.await_change(seen, until);
+                    shared.await_change(seen_changes, until);
                 }
                 Route::Send { server, tries, version } => {
-                    trial.begins(tries);
-                    let about = (rpc.slice, rpc.method);
-                    let began = Instant::now();
-                    let _out = shared.out.begin(&server);
-                    note(&|met, source| met.begins(source, about, &server));
-                    let to = Sending { rpc, server: &server, version, held: held.as_ref() };
-                    let (ended, next, result) = self.attempt(&to, passage, &mut trial);
-                    let wait = began.elapsed();
-                    let told = match &result {
-                        Ok(()) => report::Ended::Ok,
-                        Err(Refused::AsServer(head)) if head.contains_key(PUSHBACK_HEADER) => {
-                            report::Ended::PushedBack
+                    retry.begin_try(tries);
+                    let slice_method = (rpc.slice, rpc.method);
+                    let started = Instant::now();
+                    let _try_guard = shared.tries_in_flight.begin(&server);
+                    record(&|stats, source| stats.try_started(source, slice_method, &server));
+                    let target = TryTarget { rpc, server: &server, version, read_guard: read_guard.as_ref() };
+                    let (outcome, next, result) = self.attempt(&target, passage, &mut retry);
+                    let latency = started.elapsed();
+                    let try_result = match &result {
+                        Ok(()) => TryResult::Ok,
+                        Err(RpcFailure::ServerStatus(head)) if head.contains_key(PUSHBACK_HEADER) => {
+                            TryResult::PushedBack
                         }
-                        Err(_) => report::Ended::Lost,
+                        Err(_) => TryResult::Lost,
                     };
-                    match ended {
-                        Ended::NotSent => note(&|met, source| met.unsent(source, about, &server)),
-                        // It says nothing of the server, but the RPC came.
-                        Ended::NeverRan(NeverRan::NotTried) => note(&|met, source| {
-                            met.unsent(source, about, &server);
-                            if next == Next::Finish {
-                                met.waited_out(source, rpc.slice, rpc.method);
+                    match outcome {
+                        TryOutcome::NotSent => {
+                            record(&|stats, source| stats.try_not_sent(source, slice_method, &server))
+                        }
+                        // This says nothing about the server, but the RPC is demand that was not served.
+                        TryOutcome::NeverRan(NeverRan::NotTried) => record(&|stats, source| {
+                            stats.try_not_sent(source, slice_method, &server);
+                            if next == NextStep::Finish {
+                                stats.record_hold_expired(source, rpc.slice, rpc.method);
                             }
                         }),
-                        _ => note(&|met, source| met.tried(source, about, &server, told, wait)),
+                        _ => record(&|stats, source| {
+                            stats.try_ended(source, slice_method, &server, try_result, latency)
+                        }),
                     }
-                    if result.is_ok() || next == Next::Finish {
+                    if result.is_ok() || next == NextStep::Finish {
                         return result;
                     }
                 }
@@ -237,182 +255,194 @@
         }
     }
 
-    /// One try, with its second sending to the same server where the first met a closed connection.
+    /// Makes one try, which is sent a second time to the same server if its connection turned out to be closed.
     fn attempt(
         &self,
-        to: &Sending<'_>,
+        target: &TryTarget<'_>,
         passage: &mut Passage,
-        trial: &mut Trial,
-    ) -> (Ended, Next, Result<(), Refused>) {
+        retry: &mut RetryState,
+    ) -> (TryOutcome, NextStep, Result<(), RpcFailure>) {
         loop {
-            let mut used = None;
-            let (ended, result) = match self.send(to, passage, trial, &mut used) {
-                Ok(()) => (Ended::Answered, Ok(())),
-                Err(Unserved::BrokenOff) => (Ended::BrokenOff, Err(Refused::Told)),
-                Err(Unserved::Stopped) => (Ended::NotSent, Err(Refused::PushedBack(Refusal::NoLine))),
-                Err(Unserved::CutShort(refused)) => (Ended::CutShort, Err(refused)),
-                Err(Unserved::Refused(head)) => {
-                    (Ended::MayHaveRun { swallowed: false }, Err(Refused::AsServer(head)))
+            let mut client_used = None;
+            let (outcome, result) = match self.send(target, passage, retry, &mut client_used) {
+                Ok(()) => (TryOutcome::Answered, Ok(())),
+                Err(TryFailure::AnswerTruncated) => {
+                    (TryOutcome::AnswerTruncated, Err(RpcFailure::AlreadyAnswered))
+                }
+                Err(TryFailure::WriteNotAllowed) => {
+                    (TryOutcome::NotSent, Err(RpcFailure::PushedBack(Refusal::NoLine)))
+                }
+                Err(TryFailure::Aborted(failure)) => (TryOutcome::Aborted, Err(failure)),
+                Err(TryFailure::ServerStatus(head)) => {
+                    (TryOutcome::MayHaveRun { connection_silent: false }, Err(RpcFailure::ServerStatus(head)))
                 }
-                Err(Unserved::Failed(error, silent)) => {
-                    let refused = Refused::Failed(code_of(&error), error.to_string());
-                    (Ended::failed(&error, silent), Err(refused))
+                Err(TryFailure::Failed(error, silent_for)) => {
+                    let failure = RpcFailure::Failed(code_of(&error), error.to_string());
+                    (TryOutcome::from_error(&error, silent_for), Err(failure))
                 }
             };
-            if let (true, Some(client)) = (trial.severs(ended), &used) {
-                // A write given up on may stand in a network that carries nothing now, and begin at a former owner
-                // once it carries again. Where the connection is silent its cancellation is not on its way either:
-                // it is broken off, and what stands in it is lost.
+            if let (true, Some(client)) = (retry.must_close_connection(outcome), &client_used) {
+                // An abandoned write may be held in a network that delivers nothing now, and start at a former owner
+                // once the network recovers. On a silent connection the cancellation would not arrive either, so the
+                // connection is closed and its undelivered data is lost.
                 client.sever();
             }
-            let chances = Chances {
-                left: to.rpc.until.saturating_duration_since(Instant::now()),
-                wanted: !passage.cancelled(),
-                whole: passage.whole(),
+            let conditions = RetryConditions {
+                time_left: target.rpc.deadline.saturating_duration_since(Instant::now()),
+                client_waiting: !passage.cancelled(),
+                request_replayable: passage.whole(),
             };
-            let next = trial.ended(ended, chances);
-            if next != Next::SameServer {
-                return (ended, next, result);
+            let next = retry.next_step(outcome, conditions);
+            if next != NextStep::SameServer {
+                return (outcome, next, result);
             }
         }
     }
 
+    /// Sends the RPC once; the connection used is stored in `client_used`.
     fn send(
         &self,
-        to: &Sending<'_>,
+        target: &TryTarget<'_>,
         passage: &mut Passage,
-        trial: &Trial,
-        used: &mut Option<Client>,
-    ) -> Result<(), Unserved> {
-        let (rpc, shared) = (to.rpc, &self.shared);
+        retry: &RetryState,
+        client_used: &mut Option<Client>,
+    ) -> Result<(), TryFailure> {
+        let (rpc, shared) = (target.rpc, &self.shared);
         let method = &shared.service.methods[rpc.method];
-        let lease = self.pool.get(to.server, rpc.until);
-        let mut lease = lease.map_err(|error| Unserved::Failed(error, Duration::ZERO))?;
-        let client = used.insert(lease.client.clone()).clone();
-        let left = rpc.until.saturating_duration_since(Instant::now());
-        let mut within = if method.writes { left.min(self.settle) } else { left };
+        let connection = self.pool.acquire(target.server, rpc.deadline);
+        let mut connection = connection.map_err(|error| TryFailure::Failed(error, Duration::ZERO))?;
+        let client = client_used.insert(connection.client.clone()).clone();
+        let time_left = rpc.deadline.saturating_duration_since(Instant::now());
+        let mut timeout = if method.writes { time_left.min(self.settle) } else { time_left };
         let mut headers = rpc.headers.clone();
-        // The server may work on it for as long as somebody waits, whoever that will be.
-        set(&mut headers, "grpc-timeout", &grpc_timeout(within));
-        set(&mut headers, SLICE_HEADER, &rpc.slice.to_string());
-        set(&mut headers, EPOCH_HEADER, &to.version.epoch.to_string());
-        set(&mut headers, PROXY_HEADER, &self.id);
-        if trial.may_be_followed() {
-            within = within.min(rpc.soft.mul_f64(shared.service.try_factor));
+        // The server may work for as long as anyone waits for the RPC, not only for the shorter timeout of this try.
+        set_header(&mut headers, "grpc-timeout", &grpc_timeout(timeout));
+        set_header(&mut headers, SLICE_HEADER, &rpc.slice.to_string());
+        set_header(&mut headers, EPOCH_HEADER, &target.version.epoch.to_string());
+        set_header(&mut headers, PROXY_HEADER, &self.id);
+        if retry.may_retry_after_timeout() {
+            timeout = timeout.min(rpc.soft_deadline.mul_f64(shared.service.try_factor));
         }
-        // The last look before the first byte: a lease that ends now keeps the write here.
-        if method.writes && !shared.read(|t| t.still(shared.now(), rpc.slice, rpc.method, to.version)) {
-            return Err(Unserved::Stopped);
+        // The last check before the first byte: if the lease has ended by now, the write is not sent.
+        if method.writes
+            && !shared.read_table(|t| t.may_still_write(shared.now(), rpc.slice, rpc.method, target.version))
+        {
+            return Err(TryFailure::WriteNotAllowed);
         }
-        let until = Instant::now() + within;
-        let failed = |error| Unserved::Failed(error, client.silent_for());
-        let attempt = client.open(&method.path, headers, within).map_err(failed)?;
-        let stop = || to.held.is_some_and(Held::stopped);
-        let answering = passage.until_head(attempt, until, within, stop).map_err(|error| match error {
+        let until = Instant::now() + timeout;
+        let failed = |error| TryFailure::Failed(error, client.silent_for());
+        let attempt = client.open(&method.path, headers, timeout).map_err(failed)?;
+        let stop = || target.read_guard.is_some_and(ReadGuard::stopped);
+        let answering = passage.until_head(attempt, until, timeout, stop).map_err(|error| match error {
             RelayError::Server(error) => failed(error),
-            RelayError::Stopped => Unserved::CutShort(Refused::PushedBack(Refusal::Level)),
+            RelayError::Stopped => TryFailure::Aborted(RpcFailure::PushedBack(Refusal::Level)),
             RelayError::ClientGone => {
-                Unserved::CutShort(Refused::Failed(Code::Cancelled, "the client has gone".to_string()))
+                TryFailure::Aborted(RpcFailure::Failed(Code::Cancelled, "the client has gone".to_string()))
             }
             RelayError::Request(error) => {
                 let code = match error {
                     CallError::TooLarge { .. } => Code::ResourceExhausted,
                     _ => Code::InvalidArgument,
                 };
-                Unserved::CutShort(Refused::Failed(code, format!("the request: {error}")))
+                TryFailure::Aborted(RpcFailure::Failed(code, format!("the request: {error}")))
             }
         })?;
-        lease.answered = true;
-        // A write is over by then with its answer; a read may be answered as long as its client waits.
-        let until = if method.writes { until } else { rpc.until };
-        self.pass_on(to, passage, answering, &client, until)
+        connection.answered = true;
+        // A write and its answer must end within the write timeout; a read's answer may take until the RPC's deadline.
+        let until = if method.writes { until } else { rpc.deadline };
+        self.relay_answer(target, passage, answering, &client, until)
     }
 
-    /// Passes on an answer that has begun, unless its head says that it failed.
-    fn pass_on(
+    /// Passes on an answer whose head has arrived, unless the head contains a failure status.
+    fn relay_answer(
         &self,
-        to: &Sending<'_>,
+        target: &TryTarget<'_>,
         passage: &mut Passage,
         answering: Answering,
         client: &Client,
         until: Instant,
-    ) -> Result<(), Unserved> {
-        let mut head = hop::answer(&answering.head.headers);
+    ) -> Result<(), TryFailure> {
+        let mut head = hop_headers::response_headers(&answering.head.headers);
         match answering.status() {
-            Err(error) => return Err(Unserved::Failed(error, client.silent_for())),
+            Err(error) => return Err(TryFailure::Failed(error, client.silent_for())),
             Ok(Some(code)) if code != Code::Ok => {
-                self.note_load(to.server, &head);
-                return Err(Unserved::Refused(head));
+                self.record_server_load(target.server, &head);
+                return Err(TryFailure::ServerStatus(head));
             }
-            // Ok, and nothing to say: the head is all there is.
+            // Ok without messages: the head is the whole answer.
             Ok(Some(_)) => {
-                self.note_load(to.server, &head);
+                self.record_server_load(target.server, &head);
                 passage.answer_alone(head);
                 return Ok(());
             }
             Ok(None) => {}
         }
-        let by = HeaderValue::from_str(to.server);
-        if let Ok(by) = &by {
-            head.insert(ANSWERED_BY, by.clone());
+        let server_name = HeaderValue::from_str(target.server);
+        if let Ok(name) = &server_name {
+            head.insert(ANSWERED_BY, name.clone());
         }
-        let left = until.saturating_duration_since(Instant::now());
-        let mend = |trailers: &mut Trailers| {
-            *trailers = hop::answer(trailers);
-            if let Ok(by) = by {
-                trailers.insert(ANSWERED_BY, by);
+        let time_left = until.saturating_duration_since(Instant::now());
+        let rewrite_trailers = |trailers: &mut Trailers| {
+            *trailers = hop_headers::response_headers(trailers);
+            if let Ok(name) = server_name {
+                trailers.insert(ANSWERED_BY, name);
             }
         };
-        match passage.answer(answering, head, until, left, mend) {
+        match passage.answer(answering, head, until, time_left, rewrite_trailers) {
             Ok((code, trailers)) => {
-                self.note_load(to.server, &trailers);
-                // A failure that comes at the answer's end has been passed on, and nothing may follow it.
+                self.record_server_load(target.server, &trailers);
+                // A failure status at the end of the answer has been passed on already, so no try may follow.
                 if code == Code::Ok {
                     Ok(())
                 } else {
-                    Err(Unserved::BrokenOff)
+                    Err(TryFailure::AnswerTruncated)
                 }
             }
-            Err(_) => Err(Unserved::BrokenOff),
+            Err(_) => Err(TryFailure::AnswerTruncated),
         }
     }
 
-    fn note_load(&self, server: &Arc<str>, trailers: &Trailers) {
-        let Some(value) = hop::load(trailers) else { return };
+    /// Records the server's load report, if the answer contains one.
+    fn record_server_load(&self, server: &Arc<str>, trailers: &Trailers) {
+        let Some(value) = hop_headers::load_report(trailers) else { return };
         let report = whinhill_xds::unbase64(value).and_then(|bytes| OrcaLoadReport::decode(&bytes[..]).ok());
         if let Some(report) = report {
-            lock(&self.shared.met).load(server, &report);
+            lock(&self.shared.load_stats).set_server_load(server, &report);
         }
     }
 }
 
-fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
+/// Sets a header, unless the value is invalid.
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// Where a try goes, and by which table.
-struct Sending<'a> {
+/// The RPC of a try, its server, and the table version that chose it.
+struct TryTarget<'a> {
     rpc: &'a Rpc,
     server: &'a Arc<str>,
     version: Version,
-    held: Option<&'a Held<'a>>,
+    /// Registration of a read, by which a level of 0 stops it.
+    read_guard: Option<&'a ReadGuard<'a>>,
 }
 
-/// How a sending ended that served nobody.
-enum Unserved {
-    /// The client got a part of the answer or all of a bad one.
-    BrokenOff,
-    /// Nothing was sent: the table no longer allows it.
-    Stopped,
-    CutShort(Refused),
-    /// The server's answer is a status alone, and not ok.
-    Refused(HeaderMap),
-    /// With how long nothing had come on the connection.
+/// How sending an RPC failed.
+enum TryFailure {
+    /// The client got part of the answer, or a complete one that ends in a failure.
+    AnswerTruncated,
+    /// Nothing was sent: the table no longer allows the write.
+    WriteNotAllowed,
+    /// The proxy ended the try.
+    Aborted(RpcFailure),
+    /// The server's answer is only a failure status.
+    ServerStatus(HeaderMap),
+    /// An error, and the time since the connection last received anything.
     Failed(CallError, Duration),
 }
 
+/// The status for an RPC whose last try failed with this error.
 fn code_of(error: &CallError) -> Code {
     match error {
         CallError::Status { code, .. } => *code,
--- a/crates/whinhill-proxy/src/lib.rs
+++ b/crates/whinhill-proxy/src/lib.rs
@@ -1,26 +1,27 @@
-//! A plain proxy: it looks up a key's slice, obeys the slice's table and level, and reports what it met.
+//! A plain proxy: it looks up a key's slice, obeys the slice's table and level, and reports the outcomes of its tries.
 //!
-//! [`Table`] decides, without I/O or clock, what may be sent where; `streams.rs` feeds it over xDS from every
-//! assigner, [`Trial`] decides what may follow a try; `forward.rs` carries RPCs by both, `report.rs` tells what they met.
+//! [`RoutingTable`] decides, without I/O or clock, what may be sent where; `streams.rs` feeds it over xDS from every
+//! assigner. [`RetryState`] decides what follows a try. `forward.rs` forwards RPCs according to both, and `report.rs`
+//! collects the load reports for the assigners.
 
 mod connections;
 mod forward;
-mod hop;
-mod in_hand;
+mod hop_headers;
+mod in_flight;
 mod pick;
 mod pool;
 mod proxy;
 mod report;
+mod retry;
 mod shared;
 mod streams;
 mod table;
-mod trial;
 
-pub use connections::{Connections, PoolLimits, Take};
+pub use connections::{Connections, Placement, PoolLimits};
 pub use forward::{ANSWERED_BY, KEY_HEADER, PUSHBACK_HEADER, REFUSED_HEADER};
 pub use pick::{Draws, Pick};
 pub use pool::Dial;
 pub use proxy::{Proxy, ProxyConfig, ProxyError, Sabotage};
+pub use retry::{NextStep, RetryConditions, RetryState, TryOutcome};
 pub use shared::Counts;
-pub use table::{Refusal, Route, Table};
-pub use trial::{Chances, Ended, Next, Trial};
+pub use table::{Refusal, Route, RoutingTable};
--- a/crates/whinhill-proxy/src/pick.rs
+++ b/crates/whinhill-proxy/src/pick.rs
@@ -1,4 +1,4 @@
-//! Which of a slice's lines an RPC takes. No I/O: chance and the work that is out come in.
+//! Chooses one of a slice's lines for an RPC. No I/O: random numbers and the counts of tries in flight are arguments.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -8,88 +8,100 @@
 
 use crate::shared::lock;
 
-/// How a proxy picks, as its deployment has it.
+/// How a proxy chooses among the lines of a slice, as configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Pick {
     /// At random, by weight.
     #[default]
     ByWeight,
-    /// At random, each alike.
+    /// At random, with equal probability for every line that has weight.
     Evenly,
-    /// Two drawn by weight, and of them the one with less of this proxy's own work out (power of two choices,
-    /// Mitzenmacher 2001).
+    /// Two lines drawn by weight, and of them the one with fewer of this proxy's tries in flight (power of two
+    /// choices, Mitzenmacher 2001).
     LessOfTwo,
 }
 
-/// What an RPC draws once for itself, each evenly from 0 to 1.
+/// Random numbers of an RPC, each uniform from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub struct Draws {
+    /// Compared with the admitted share; drawn once for each RPC.
     pub level: f64,
+    /// Chooses the first line.
     pub first: f64,
+    /// Chooses the second line of [`Pick::LessOfTwo`].
     pub second: f64,
 }
 
+/// A server and its weight.
 type Line = (Arc<str>, u32);
 
-/// The line that an RPC takes; `None` where no line has weight.
-pub fn pick(how: Pick, lines: &[Line], draws: Draws, out: impl Fn(&str) -> u32) -> Option<&Arc<str>> {
-    match how {
-        Pick::ByWeight => by_weight(lines, None, draws.first).map(|place| &lines[place].0),
+/// The server of the chosen line; `None` if no line has weight.
+pub fn pick_server(
+    policy: Pick,
+    lines: &[Line],
+    draws: Draws,
+    in_flight: impl Fn(&str) -> u32,
+) -> Option<&Arc<str>> {
+    match policy {
+        Pick::ByWeight => by_weight(lines, None, draws.first).map(|index| &lines[index].0),
         Pick::Evenly => {
-            let fit: Vec<&Line> = lines.iter().filter(|(_, weight)| *weight > 0).collect();
-            let place = (draws.first * fit.len() as f64) as usize;
-            fit.get(place.min(fit.len().saturating_sub(1))).map(|line| &line.0)
+            let eligible: Vec<&Line> = lines.iter().filter(|(_, weight)| *weight > 0).collect();
+            let index = (draws.first * eligible.len() as f64) as usize;
+            eligible.get(index.min(eligible.len().saturating_sub(1))).map(|line| &line.0)
         }
         Pick::LessOfTwo => {
             let first = by_weight(lines, None, draws.first)?;
             let second = by_weight(lines, Some(first), draws.second).unwrap_or(first);
             let (first, second) = (&lines[first].0, &lines[second].0);
-            Some(if out(second) < out(first) { second } else { first })
+            Some(if in_flight(second) < in_flight(first) { second } else { first })
         }
     }
 }
 
-fn by_weight(lines: &[Line], without: Option<usize>, draw: f64) -> Option<usize> {
-    let weight = |place: usize| if Some(place) == without { 0 } else { u64::from(lines[place].1) };
-    let all: u64 = (0..lines.len()).map(weight).sum();
-    let mut left = (draw * all as f64) as u64;
-    (0..lines.len()).find(|place| {
-        let here = weight(*place);
-        let found = left < here;
-        left = left.saturating_sub(here);
+/// The index of a line drawn by weight, leaving out `excluded`.
+fn by_weight(lines: &[Line], excluded: Option<usize>, draw: f64) -> Option<usize> {
+    let weight = |index: usize| if Some(index) == excluded { 0 } else { u64::from(lines[index].1) };
+    let total: u64 = (0..lines.len()).map(weight).sum();
+    let mut remaining = (draw * total as f64) as u64;
+    (0..lines.len()).find(|index| {
+        let line_weight = weight(*index);
+        let found = remaining < line_weight;
+        remaining = remaining.saturating_sub(line_weight);
         found
     })
 }
 
-/// This proxy's tries that are out, by server.
+/// Number of this proxy's tries in flight, by server.
 #[derive(Debug, Default)]
-pub struct Out(Mutex<HashMap<Arc<str>, u32>>);
+pub struct TriesInFlight(Mutex<HashMap<Arc<str>, u32>>);
 
-/// One try that is out; it ends with this.
-pub struct OneOut<'a> {
-    out: &'a Out,
+/// One try in flight; dropping it ends the count.
+pub struct TryGuard<'a> {
+    tries: &'a TriesInFlight,
     server: Arc<str>,
 }
 
-impl Out {
-    pub fn of(&self, server: &str) -> u32 {
+impl TriesInFlight {
+    /// Number of tries in flight to a server.
+    pub fn count(&self, server: &str) -> u32 {
         lock(&self.0).get(server).copied().unwrap_or(0)
     }
 
-    pub fn begin(&self, server: &Arc<str>) -> OneOut<'_> {
+    /// Counts a try to a server until the returned guard is dropped.
+    pub fn begin(&self, server: &Arc<str>) -> TryGuard<'_> {
         *lock(&self.0).entry(server.clone()).or_insert(0) += 1;
-        OneOut { out: self, server: server.clone() }
+        TryGuard { tries: self, server: server.clone() }
     }
 }
 
-impl Drop for OneOut<'_> {
+impl Drop for TryGuard<'_> {
     fn drop(&mut self) {
-        let mut out = lock(&self.out.0);
-        // A server without work is forgotten: servers come and go.
-        match out.get_mut(&self.server) {
+        let mut tries = lock(&self.tries.0);
+        // Servers come and go, so one without tries is removed.
+        match tries.get_mut(&self.server) {
             Some(count) if *count > 1 => *count -= 1,
-            _ => drop(out.remove(&self.server)),
+            _ => drop(tries.remove(&self.server)),
         }
     }
 }
@@ -105,54 +117,54 @@
         weights.iter().enumerate().map(|(k, weight)| (format!("s{k}").into(), *weight)).collect()
     }
 
-    /// How often each of the lines is taken in 20,000 draws.
-    fn shares(how: Pick, lines: &[Line], out: impl Fn(&str) -> u32) -> Vec<f64> {
+    /// The fraction of 20,000 draws in which each line is chosen.
+    fn shares(policy: Pick, lines: &[Line], in_flight: impl Fn(&str) -> u32) -> Vec<f64> {
         let mut rng = ChaCha8Rng::seed_from_u64(5);
         let mut counts = vec![0.0; lines.len()];
         for _ in 0..20_000 {
             let draws = Draws { level: 0.0, first: rng.random(), second: rng.random() };
-            let server = pick(how, lines, draws, &out).unwrap();
+            let server = pick_server(policy, lines, draws, &in_flight).unwrap();
             counts[lines.iter().position(|line| line.0 == *server).unwrap()] += 1.0 / 20_000.0;
         }
         counts
     }
 
-    fn near(found: &[f64], wanted: &[f64]) -> bool {
+    fn roughly_equal(found: &[f64], wanted: &[f64]) -> bool {
         found.iter().zip(wanted).all(|(found, wanted)| (found - wanted).abs() < 0.015)
     }
 
     #[test]
-    fn lines_are_taken_by_weight_evenly_or_by_less_work_out() {
+    fn lines_are_chosen_by_weight_evenly_or_by_fewer_tries_in_flight() {
         let some = lines(&[1, 3, 0, 4]);
-        assert!(near(&shares(Pick::ByWeight, &some, |_| 0), &[0.125, 0.375, 0.0, 0.5]));
+        assert!(roughly_equal(&shares(Pick::ByWeight, &some, |_| 0), &[0.125, 0.375, 0.0, 0.5]));
         let third = 1.0 / 3.0;
-        assert!(near(&shares(Pick::Evenly, &some, |_| 0), &[third, third, 0.0, third]));
-        // Without work out the first draw counts; a busy server is taken only if both draws are it.
-        assert!(near(&shares(Pick::LessOfTwo, &some, |_| 0), &[0.125, 0.375, 0.0, 0.5]));
+        assert!(roughly_equal(&shares(Pick::Evenly, &some, |_| 0), &[third, third, 0.0, third]));
+        // With no tries in flight the first draw decides; a busy server loses to any other that is drawn.
+        assert!(roughly_equal(&shares(Pick::LessOfTwo, &some, |_| 0), &[0.125, 0.375, 0.0, 0.5]));
         let busy = shares(Pick::LessOfTwo, &some, |server| u32::from(server == "s3") * 9);
         assert_eq!(busy[3], 0.0);
     }
 
     #[test]
-    fn without_weight_nothing_is_taken_and_a_single_line_always() {
+    fn lines_without_weight_are_never_chosen_and_a_single_line_always() {
         let draws = Draws { level: 0.0, first: 0.999_999, second: 0.999_999 };
-        for how in [Pick::ByWeight, Pick::Evenly, Pick::LessOfTwo] {
-            assert_eq!(pick(how, &lines(&[0, 0]), draws, |_| 0), None);
-            assert_eq!(pick(how, &[], draws, |_| 0), None);
-            assert_eq!(pick(how, &lines(&[0, 7]), draws, |_| 50).unwrap().as_ref(), "s1");
+        for policy in [Pick::ByWeight, Pick::Evenly, Pick::LessOfTwo] {
+            assert_eq!(pick_server(policy, &lines(&[0, 0]), draws, |_| 0), None);
+            assert_eq!(pick_server(policy, &[], draws, |_| 0), None);
+            assert_eq!(pick_server(policy, &lines(&[0, 7]), draws, |_| 50).unwrap().as_ref(), "s1");
         }
     }
 
     #[test]
-    fn work_out_is_counted_until_it_ends() {
-        let (out, server): (Out, Arc<str>) = (Out::default(), "a".into());
-        let first = out.begin(&server);
+    fn tries_are_counted_until_their_guards_are_dropped() {
+        let (tries, server): (TriesInFlight, Arc<str>) = (TriesInFlight::default(), "a".into());
+        let first = tries.begin(&server);
         {
-            let _second = out.begin(&server);
-            assert_eq!(out.of("a"), 2);
+            let _second = tries.begin(&server);
+            assert_eq!(tries.count("a"), 2);
         }
-        assert_eq!((out.of("a"), out.of("b")), (1, 0));
+        assert_eq!((tries.count("a"), tries.count("b")), (1, 0));
         drop(first);
-        assert!(lock(&out.0).is_empty());
+        assert!(lock(&tries.0).is_empty());
     }
 }
--- a/crates/whinhill-proxy/src/pool.rs
+++ b/crates/whinhill-proxy/src/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to servers, as [`Connections`] decides: opened by whoever needs one, shared by all RPCs to a server.
+//! Connections to servers, as decided by [`Connections`]: opened by the RPC that needs one, shared by all RPCs to a
+//! server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,32 +8,35 @@
 
 use whinhill_transport::{CallError, Client, Drivers, Limits, NeverRan, Turn};
 
-use crate::connections::{ConnectionId, Connections, PoolLimits, Take};
+use crate::connections::{ConnectionId, Connections, Placement, PoolLimits};
 use crate::shared::lock;
 
-/// Servers connected to at a time.
-const SERVERS_MOST: usize = 4096;
-/// How often idle connections are looked for, by whoever comes by.
-const SWEEP: Duration = Duration::from_secs(1);
+/// The most servers connected to at the same time.
+const MAX_SERVERS: usize = 4096;
+/// How often idle connections are looked for, by the next RPC that needs a connection.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
+/// The connections of one proxy to its servers.
 pub struct Pool {
     state: Mutex<State>,
-    /// Something has room again, was opened, or could not be.
-    settled: Condvar,
+    /// Signalled when a connection has room again, was opened, or could not be opened.
+    availability_changed: Condvar,
     limits: Limits,
     drivers: Drivers,
     dial: Dial,
     start: Instant,
 }
 
+/// What the pool's lock guards.
 struct State {
-    decides: Connections,
+    connections: Connections,
     clients: HashMap<ConnectionId, Client>,
-    waiting: usize,
-    swept: Instant,
+    waiters: usize,
+    last_idle_check: Instant,
 }
 
-/// Where to connect for a server, if not to its own address: a relay beside the proxy, for one.
+/// Maps a server's address to the address to connect to, for example that of a relay; without a function, to the
+/// server's own address.
 #[derive(Clone, Default)]
 pub struct Dial(pub Option<Arc<dyn Fn(SocketAddr) -> SocketAddr + Send + Sync>>);
 
@@ -42,34 +46,35 @@
     }
 }
 
-/// A place on a connection; it is given back when this ends.
-pub struct Lease<'a> {
+/// A connection on which one RPC is counted as in flight until this is dropped.
+pub struct PooledConnection<'a> {
     pool: &'a Pool,
     server: Arc<str>,
     id: ConnectionId,
     pub client: Client,
-    /// An answer has come on it.
+    /// The RPC has received an answer.
     pub answered: bool,
 }
 
-impl Drop for Lease<'_> {
+impl Drop for PooledConnection<'_> {
     fn drop(&mut self) {
         let pool = self.pool;
         let mut state = lock(&pool.state);
-        state.decides.done(pool.now(), &self.server, self.id, self.answered);
-        let gone = if self.client.alive() {
+        state.connections.rpc_ended(pool.now(), &self.server, self.id, self.answered);
+        let closed = if self.client.alive() {
             None
         } else {
-            state.decides.ended(&self.server, self.id);
+            state.connections.remove(&self.server, self.id);
             state.clients.remove(&self.id)
         };
-        pool.tell(state);
-        // Outside of the lock: the last handle of a connection ends it.
-        drop(gone);
+        pool.notify_waiters(state);
+        // Dropped outside the lock: dropping the last handle of a connection closes it.
+        drop(closed);
     }
 }
 
 impl Pool {
+    /// A pool without connections.
     pub fn new(limits: Limits, pool: PoolLimits, drivers: Drivers, dial: Dial) -> Self {
         let limits = Limits {
             handshake: Duration::from_millis(pool.connect_within_ms),
@@ -77,92 +82,100 @@
             ..limits
         };
         let start = Instant::now();
-        let decides = Connections::new(pool, SERVERS_MOST);
-        let state = State { decides, clients: HashMap::new(), waiting: 0, swept: start };
-        Pool { state: Mutex::new(state), settled: Condvar::new(), limits, drivers, dial, start }
+        let connections = Connections::new(pool, MAX_SERVERS);
+        let state = State { connections, clients: HashMap::new(), waiters: 0, last_idle_check: start };
+        Pool { state: Mutex::new(state), availability_changed: Condvar::new(), limits, drivers, dial, start }
     }
 
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    fn tell(&self, state: MutexGuard<'_, State>) {
-        if state.waiting > 0 {
-            self.settled.notify_all();
+    fn notify_waiters(&self, state: MutexGuard<'_, State>) {
+        if state.waiters > 0 {
+            self.availability_changed.notify_all();
         }
     }
 
-    /// A place on a connection to a server: on one that stands, a new one, or one that comes free in time.
-    pub fn get(&self, server: &Arc<str>, until: Instant) -> Result<Lease<'_>, CallError> {
-        let none = || CallError::NeverRan(NeverRan::NoConnection);
-        // Getting one may take a while: what this thread has handed to other connections must not wait with it.
+    /// A connection to a server: an open one, a new one, or one that has room again before `until`.
+    pub fn acquire(&self, server: &Arc<str>, until: Instant) -> Result<PooledConnection<'_>, CallError> {
+        let no_connection = || CallError::NeverRan(NeverRan::NoConnection);
+        // This may take a while, and what this thread has queued on other connections must not wait for it.
         Turn::flush();
         let mut state = lock(&self.state);
-        if state.swept.elapsed() >= SWEEP {
-            state = self.sweep(state);
+        if state.last_idle_check.elapsed() >= IDLE_CHECK_INTERVAL {
+            state = self.close_idle(state);
         }
         loop {
-            match state.decides.take(self.now(), server) {
-                Take::Use(id) => {
+            match state.connections.place(self.now(), server) {
+                Placement::Use(id) => {
                     let client = state.clients.get(&id).filter(|client| client.alive()).cloned();
                     if let Some(client) = client {
-                        return Ok(Lease { pool: self, server: server.clone(), id, client, answered: false });
+                        return Ok(PooledConnection {
+                            pool: self,
+                            server: server.clone(),
+                            id,
+                            client,
+                            answered: false,
+                        });
                     }
-                    state.decides.ended(server, id);
+                    state.connections.remove(server, id);
                     state.clients.remove(&id);
                 }
-                Take::Open => break,
-                Take::Refused => return Err(none()),
-                Take::Wait => {
-                    let left = until.saturating_duration_since(Instant::now());
-                    if left.is_zero() {
-                        return Err(none());
+                Placement::Open => break,
+                Placement::Unavailable => return Err(no_connection()),
+                Placement::Wait => {
+                    let remaining = until.saturating_duration_since(Instant::now());
+                    if remaining.is_zero() {
+                        return Err(no_connection());
                     }
-                    state.waiting += 1;
-                    let waited = self.settled.wait_timeout(state, left);
+                    state.waiters += 1;
+                    let waited = self.availability_changed.wait_timeout(state, remaining);
                     state = waited.unwrap_or_else(PoisonError::into_inner).0;
-                    state.waiting -= 1;
+                    state.waiters -= 1;
                 }
             }
         }
-        let let_go: Vec<Client> =
-            state.decides.let_go().iter().filter_map(|id| state.clients.remove(id)).collect();
+        let evicted: Vec<Client> =
+            state.connections.take_evicted().iter().filter_map(|id| state.clients.remove(id)).collect();
         drop(state);
-        drop(let_go);
+        drop(evicted);
         let addr: Option<SocketAddr> = server.parse().ok();
         let addr = addr.map(|addr| self.dial.0.as_ref().map_or(addr, |dial| dial(addr)));
-        let opened =
-            addr.ok_or_else(none).and_then(|addr| Client::connect(addr, self.limits.clone(), &self.drivers));
+        let opened = addr
+            .ok_or_else(no_connection)
+            .and_then(|addr| Client::connect(addr, self.limits.clone(), &self.drivers));
         let mut state = lock(&self.state);
         let result = match opened {
             Ok(client) => {
-                let id = state.decides.opened(self.now(), server);
+                let id = state.connections.opened(self.now(), server);
                 state.clients.insert(id, client.clone());
-                Ok(Lease { pool: self, server: server.clone(), id, client, answered: false })
+                Ok(PooledConnection { pool: self, server: server.clone(), id, client, answered: false })
             }
             Err(error) => {
                 match error.never_ran() {
-                    Some(NeverRan::NotTried) => state.decides.not_tried(server),
-                    _ => state.decides.refused(self.now(), server),
+                    Some(NeverRan::NotTried) => state.connections.open_not_attempted(server),
+                    _ => state.connections.open_failed(self.now(), server),
                 }
                 Err(error)
             }
         };
-        self.tell(state);
+        self.notify_waiters(state);
         result
     }
 
-    fn sweep<'a>(&'a self, mut state: MutexGuard<'a, State>) -> MutexGuard<'a, State> {
-        state.swept = Instant::now();
-        let idle = state.decides.idle(self.now());
-        let ended: Vec<_> = idle.iter().filter_map(|(_, id)| state.clients.remove(id)).collect();
+    /// Closes idle connections, outside the lock.
+    fn close_idle<'a>(&'a self, mut state: MutexGuard<'a, State>) -> MutexGuard<'a, State> {
+        state.last_idle_check = Instant::now();
+        let idle = state.connections.remove_idle(self.now());
+        let closed: Vec<_> = idle.iter().filter_map(|(_, id)| state.clients.remove(id)).collect();
         drop(state);
-        drop(ended);
+        drop(closed);
         lock(&self.state)
     }
 
-    /// Connections that stand, and RPCs in hand on them.
-    pub fn standing(&self) -> (usize, usize) {
-        lock(&self.state).decides.standing()
+    /// Number of open connections, and of RPCs in flight on them.
+    pub fn usage(&self) -> (usize, usize) {
+        lock(&self.state).connections.usage()
     }
 }
--- a/crates/whinhill-proxy/src/proxy.rs
+++ b/crates/whinhill-proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Puts a proxy together and takes it apart.
+//! Starts, drains and stops a proxy.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,62 +16,71 @@
 use crate::pick::Pick;
 use crate::pool::{Dial, Pool};
 use crate::shared::{Counts, Shared};
-use crate::streams::Streams;
+use crate::streams::AssignerStreams;
 
-const STACK: usize = whinhill_transport::CALL_STACK;
+/// Stack size of the threads that run the streams to assigners.
+const STREAM_STACK_SIZE: usize = whinhill_transport::CALL_STACK;
 
-/// Faults put in on purpose, so that an audit can be shown to find them.
+/// Deliberate faults, to show that an audit detects them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sabotage {
-    /// Goes on by a table whose writes were stopped or whose line was taken away.
+    /// Ignores assignments that admit nothing or have no line, and goes on using the previous table.
     pub ignores_stops: bool,
 }
 
+/// Configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
+    /// Name towards assigners and servers.
     pub id: String,
     pub zone: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
     pub service: Arc<Service>,
-    /// Names and addresses of all assigners.
+    /// The names and addresses of all assigners.
     pub assigners: Vec<(String, SocketAddr)>,
+    /// State-of-the-world or incremental xDS.
     pub variant: Variant,
-    /// A write ends within this time.
+    /// Timeout of a write: assigners rely on every write ending within this time.
     pub settle: Duration,
     pub limits: Limits,
+    /// Seeds the proxy's random numbers.
     pub seed: u64,
     pub dial: Dial,
     pub pool: PoolLimits,
-    /// Bytes of a request's or an answer's body, all messages together.
+    /// The largest body of a request or answer, all messages together, in bytes.
     pub body_most: u64,
     pub pick: Pick,
     pub sabotage: Sabotage,
 }
 
+/// Why a proxy can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ProxyError {
+    /// The address can't be listened on.
     #[error("proxy {id}: cannot listen on {addr}: {error}")]
     Listen { id: String, addr: SocketAddr, error: io::Error },
+    /// A thread for a stream can't be started.
     #[error("proxy {id}: cannot start a thread: {error}")]
     Thread { id: String, error: io::Error },
 }
 
-/// A running proxy. Dropping it stops it: what it has in hand is finished.
+/// A running proxy. Dropping it stops it; RPCs in flight are finished.
 pub struct Proxy {
     id: String,
     shared: Arc<Shared>,
     forwarder: Arc<Forwarder>,
     listener: Option<Listener>,
     threads: Vec<thread::JoinHandle<()>>,
-    reject: Arc<AtomicU64>,
+    replies_to_reject: Arc<AtomicU64>,
 }
 
 impl Proxy {
-    /// Starts one; `workers` carry its RPCs, `drivers` its connections. Both may serve many proxies.
+    /// Starts a proxy; `workers` handle its RPCs, `drivers` its connections. Both may be shared by many proxies.
     pub fn start(config: ProxyConfig, drivers: &Drivers, workers: &Workers) -> Result<Self, ProxyError> {
         let shared =
             Arc::new(Shared::new(config.service.clone(), config.assigners.len(), config.seed, config.pick));
-        let reject = Arc::new(AtomicU64::new(0));
+        let replies_to_reject = Arc::new(AtomicU64::new(0));
         let locality = proto::Locality { zone: config.zone.clone(), ..Default::default() };
         let node = proto::Node {
             id: config.id.clone(),
@@ -82,7 +91,7 @@
         };
         let mut threads = Vec::new();
         for (source, (assigner, addr)) in config.assigners.iter().enumerate() {
-            let streams = || Streams {
+            let streams = || AssignerStreams {
                 shared: shared.clone(),
                 source,
                 assigner: assigner.clone(),
@@ -92,16 +101,17 @@
                 limits: config.limits.clone(),
                 drivers: drivers.clone(),
                 sabotage: config.sabotage,
-                reject: reject.clone(),
+                replies_to_reject: replies_to_reject.clone(),
             };
-            let (follow, report) = (streams(), streams());
+            let (for_tables, for_reports) = (streams(), streams());
             let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
-                let thread =
-                    thread::Builder::new().name(format!("{}-{name}-{source}", config.id)).stack_size(STACK);
+                let thread = thread::Builder::new()
+                    .name(format!("{}-{name}-{source}", config.id))
+                    .stack_size(STREAM_STACK_SIZE);
                 thread.spawn(run).map_err(|error| ProxyError::Thread { id: config.id.clone(), error })
             };
-            threads.push(spawn("ads", Box::new(move || follow.follow()))?);
-            threads.push(spawn("lrs", Box::new(move || report.report()))?);
+            threads.push(spawn("ads", Box::new(move || for_tables.run_table_stream()))?);
+            threads.push(spawn("lrs", Box::new(move || for_reports.run_report_stream()))?);
         }
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
@@ -111,16 +121,16 @@
             body: BodyLimits { message_most: config.limits.message_most, body_most: config.body_most },
         });
         let workers = workers.clone();
-        let carries = forwarder.clone();
+        let handler_forwarder = forwarder.clone();
         let handler = move |call: ServerCall| {
-            let forwarder = carries.clone();
-            // What no worker can take is pushed back at once: a queue would only grow old.
-            let full = |call: ServerCall| {
+            let forwarder = handler_forwarder.clone();
+            // Without a free worker an RPC is pushed back at once: in a queue it would only lose time.
+            let reject_when_full = |call: ServerCall| {
                 let mut trailers = Trailers::new();
                 trailers.insert(PUSHBACK_HEADER, http::HeaderValue::from_static("250"));
                 call.refuse(Code::Unavailable, "pushed back: the proxy is full", trailers);
             };
-            workers.hand(call, move |call| forwarder.carry(call), full);
+            workers.hand(call, move |call| forwarder.handle(call), reject_when_full);
         };
         let listener = Listener::start(&config.id, config.listen, config.limits.clone(), drivers, handler);
         let listener = listener.map_err(|error| ProxyError::Listen {
@@ -128,47 +138,51 @@
             addr: config.listen,
             error,
         })?;
-        Ok(Proxy { id: config.id, shared, forwarder, listener: Some(listener), threads, reject })
+        Ok(Proxy { id: config.id, shared, forwarder, listener: Some(listener), threads, replies_to_reject })
     }
 
+    /// The proxy's name.
     pub fn id(&self) -> &str {
         &self.id
     }
 
+    /// Where the proxy listens; `None` once it has been drained.
     pub fn addr(&self) -> Option<SocketAddr> {
         self.listener.as_ref().map(Listener::addr)
     }
 
+    /// Counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.shared.counts
     }
 
-    /// How many slice tables it holds, and how many of an older epoch it has passed over.
+    /// Number of tables that it holds, one for each slice and method, and of assignments ignored because of an older
+    /// epoch.
     pub fn held(&self) -> (usize, u64) {
-        self.shared.read(|table| (table.versions().len(), table.older()))
+        self.shared.read_table(|table| (table.versions().len(), table.older_epoch_count()))
     }
 
-    /// Connections to servers, and RPCs in hand on them.
+    /// Number of connections to servers, and of RPCs in flight on them.
     pub fn standing(&self) -> (usize, usize) {
-        self.forwarder.pool.standing()
+        self.forwarder.pool.usage()
     }
 
-    /// Takes no more RPCs in, and lets those in hand finish, for as long as a call may take. How many connections of
-    /// clients were left then.
+    /// Accepts no more RPCs and lets those in flight finish, for as long as the longest method deadline. Returns the
+    /// number of client connections that were left then.
     pub fn drain(&mut self) -> usize {
         let Some(listener) = self.listener.take() else { return 0 };
         let deadlines = self.shared.service.methods.iter().map(|method| method.deadline);
         listener.drain(deadlines.max().unwrap_or_default())
     }
 
-    /// Tells its threads to end, without waiting: many can then be dropped in the time of one.
+    /// Tells its threads to end, without waiting, so that many proxies can stop at the same time before each is dropped.
     pub fn begin_stop(&self) {
         self.shared.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Has it reject the next `count` replies that hold endpoints.
+    /// Makes the proxy reject the next `count` replies that contain endpoints.
     pub fn reject_next(&self, count: u64) {
-        self.reject.store(count, Ordering::Relaxed);
+        self.replies_to_reject.store(count, Ordering::Relaxed);
     }
 }
 
@@ -178,7 +192,7 @@
         self.listener = None;
         for thread in self.threads.drain(..) {
             thread.thread().unpark();
-            // A panic there has been logged by the thread; here only its end matters.
+            // The thread has logged its own panic, if any; only its end matters here.
             let _ = thread.join();
         }
     }
--- a/crates/whinhill-proxy/src/report.rs
+++ b/crates/whinhill-proxy/src/report.rs
@@ -1,4 +1,4 @@
-//! What a proxy met, by server, slice and method, as load reports (LRS v3) tell it.
+//! Statistics of tries by server, slice and method, for the load reports to assigners (LRS v3).
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,127 +10,139 @@
 
 use crate::table::Source;
 
-/// The mean wait of ok answers, in milliseconds.
-pub const WAIT: &str = "wait_ms";
-/// Tries that the server sent back unrun, with a time to come again.
-const PUSHED_BACK: &str = "pushed_back";
-/// Servers whose own figures are kept at a time.
-const SERVERS_MOST: usize = 4096;
+/// Load metric: total latency of ok answers in milliseconds, with their number.
+const WAIT_METRIC: &str = "wait_ms";
+/// Load metric: tries that the server sent back without running them, with a time for the next attempt.
+const PUSHED_BACK_METRIC: &str = "pushed_back";
+/// The most servers whose own load reports are kept.
+const MAX_SERVERS: usize = 4096;
 
-/// How a try ended.
+/// The outcome of a try, for load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum TryResult {
+    /// Answered with the status ok.
     Ok,
-    /// The server sent it back.
+    /// The server sent it back without running it.
     PushedBack,
-    /// Aborted, unanswered, or cut short.
+    /// Failed, unanswered or ended by the proxy.
     Lost,
 }
 
+/// Tries of one slice and method at one server.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Tries {
+struct ServerStats {
     tries: u64,
     ok: u64,
     pushed_back: u64,
-    wait: Duration,
+    /// Total latency of the ok answers.
+    ok_latency: Duration,
 }
 
+/// RPCs and tries of one slice and method since the last report.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Came {
+struct SliceStats {
+    /// RPCs that the level didn't admit.
     dropped: u64,
-    /// By server; bounded by the owners that a slice has had since the last report.
-    tries: BTreeMap<Arc<str>, Tries>,
-    waited_out: u64,
+    /// Limited by the number of owners that the slice has had since the last report.
+    by_server: BTreeMap<Arc<str>, ServerStats>,
+    /// RPCs for which no server or connection was available in time.
+    hold_expired: u64,
 }
 
-/// Tries that are out, by server.
-type OutAt = BTreeMap<Arc<str>, u64>;
+/// Number of tries in flight, by server.
+type InFlightByServer = BTreeMap<Arc<str>, u64>;
 
-/// What one report tells.
+/// Statistics taken out for one report.
 #[derive(Debug)]
-pub struct Taken {
+pub struct PendingReport {
     source: Source,
     since: Duration,
     until: Duration,
-    sums: BTreeMap<(SliceId, MethodId), Came>,
+    by_slice: BTreeMap<(SliceId, MethodId), SliceStats>,
 }
 
-/// Sums since the last report, by the assigner that is in charge.
+/// Statistics since the last report, by the assigner that receives them.
 #[derive(Debug)]
-pub struct Met {
-    sums: Vec<BTreeMap<(SliceId, MethodId), Came>>,
+pub struct LoadStats {
+    by_slice: Vec<BTreeMap<(SliceId, MethodId), SliceStats>>,
+    /// When each report began.
     since: Vec<Duration>,
-    /// Tries that are out, by whom their end will be told to. Bounded by the RPCs in hand.
-    out: Vec<BTreeMap<(SliceId, MethodId), OutAt>>,
-    /// What servers told of themselves last (ORCA).
-    loads: HashMap<Arc<str>, BTreeMap<String, f64>>,
+    /// Tries in flight, by the assigner to which their end will be reported. Limited by the RPCs in flight.
+    in_flight: Vec<BTreeMap<(SliceId, MethodId), InFlightByServer>>,
+    /// The last load report of each server (ORCA).
+    server_loads: HashMap<Arc<str>, BTreeMap<String, f64>>,
 }
 
-impl Met {
+impl LoadStats {
+    /// Empty statistics for `sources` assigners.
     pub fn new(sources: usize) -> Self {
-        Met {
-            sums: vec![BTreeMap::new(); sources],
+        LoadStats {
+            by_slice: vec![BTreeMap::new(); sources],
             since: vec![Duration::ZERO; sources],
-            out: vec![BTreeMap::new(); sources],
-            loads: HashMap::new(),
+            in_flight: vec![BTreeMap::new(); sources],
+            server_loads: HashMap::new(),
         }
     }
 
-    fn came(&mut self, source: Source, slice: SliceId, method: MethodId) -> &mut Came {
-        self.sums[source].entry((slice, method)).or_default()
+    /// The statistics of a slice and method since the last report.
+    fn slice_stats(&mut self, source: Source, slice: SliceId, method: MethodId) -> &mut SliceStats {
+        self.by_slice[source].entry((slice, method)).or_default()
     }
 
-    /// An RPC that its level shut out.
-    pub fn dropped(&mut self, source: Source, slice: SliceId, method: MethodId) {
-        self.came(source, slice, method).dropped += 1;
+    /// Records an RPC that the level didn't admit.
+    pub fn record_dropped(&mut self, source: Source, slice: SliceId, method: MethodId) {
+        self.slice_stats(source, slice, method).dropped += 1;
     }
 
-    /// One that found no server within the hold, or for which this machine had no connection to offer.
-    pub fn waited_out(&mut self, source: Source, slice: SliceId, method: MethodId) {
-        self.came(source, slice, method).waited_out += 1;
+    /// Records an RPC that found no server within the hold time, or for which this machine could open no connection.
+    pub fn record_hold_expired(&mut self, source: Source, slice: SliceId, method: MethodId) {
+        self.slice_stats(source, slice, method).hold_expired += 1;
     }
 
-    /// A try goes out; [`Met::tried`] follows, with the same source.
-    pub fn begins(&mut self, source: Source, about: (SliceId, MethodId), server: &Arc<str>) {
-        let of_slice = self.out[source].entry(about).or_default();
-        *of_slice.entry(server.clone()).or_default() += 1;
+    /// A try begins; [`LoadStats::try_ended`] or [`LoadStats::try_not_sent`] must follow, with the same source.
+    pub fn try_started(&mut self, source: Source, slice_method: (SliceId, MethodId), server: &Arc<str>) {
+        let by_server = self.in_flight[source].entry(slice_method).or_default();
+        *by_server.entry(server.clone()).or_default() += 1;
     }
 
-    /// It ended without having been sent: it counts for nothing.
-    pub fn unsent(&mut self, source: Source, about: (SliceId, MethodId), server: &Arc<str>) {
-        let Some(of_slice) = self.out[source].get_mut(&about) else { return };
-        match of_slice.get_mut(server) {
-            Some(out) if *out > 1 => *out -= 1,
-            _ => drop(of_slice.remove(server)),
+    /// A try ended without having been sent: it doesn't count.
+    pub fn try_not_sent(&mut self, source: Source, slice_method: (SliceId, MethodId), server: &Arc<str>) {
+        let Some(by_server) = self.in_flight[source].get_mut(&slice_method) else { return };
+        match by_server.get_mut(server) {
+            Some(count) if *count > 1 => *count -= 1,
+            _ => drop(by_server.remove(server)),
         }
-        if of_slice.is_empty() {
-            self.out[source].remove(&about);
+        if by_server.is_empty() {
+            self.in_flight[source].remove(&slice_method);
         }
     }
 
-    pub fn tried(
+    /// A try ended, after `latency`.
+    pub fn try_ended(
         &mut self,
         source: Source,
         (slice, method): (SliceId, MethodId),
         server: &Arc<str>,
-        ended: Ended,
-        wait: Duration,
+        result: TryResult,
+        latency: Duration,
     ) {
-        self.unsent(source, (slice, method), server);
-        let tries = self.came(source, slice, method).tries.entry(server.clone()).or_default();
-        tries.tries += 1;
-        match ended {
-            Ended::Ok => {
-                tries.ok += 1;
-                tries.wait += wait;
+        self.try_not_sent(source, (slice, method), server);
+        let server_stats =
+            self.slice_stats(source, slice, method).by_server.entry(server.clone()).or_default();
+        server_stats.tries += 1;
+        match result {
+            TryResult::Ok => {
+                server_stats.ok += 1;
+                server_stats.ok_latency += latency;
             }
-            Ended::PushedBack => tries.pushed_back += 1,
-            Ended::Lost => {}
+            TryResult::PushedBack => server_stats.pushed_back += 1,
+            TryResult::Lost => {}
         }
     }
 
-    pub fn load(&mut self, server: &Arc<str>, report: &proto::OrcaLoadReport) {
-        if self.loads.len() >= SERVERS_MOST && !self.loads.contains_key(server) {
+    /// Stores a server's own load report.
+    pub fn set_server_load(&mut self, server: &Arc<str>, report: &proto::OrcaLoadReport) {
+        if self.server_loads.len() >= MAX_SERVERS && !self.server_loads.contains_key(server) {
             return;
         }
         let named = report.named_metrics.iter().take(8).map(|(name, value)| (name.clone(), *value));
@@ -138,75 +150,86 @@
         if report.cpu_utilization > 0.0 {
             load.insert("cpu".to_string(), report.cpu_utilization);
         }
-        self.loads.insert(server.clone(), load);
+        self.server_loads.insert(server.clone(), load);
     }
 
-    /// Takes out what an assigner is to be told. It is told once at most: what a stream swallows is lost with it. Only
-    /// a report that was not handed to its stream whole can't have been read, and comes back by [`Met::put_back`].
-    pub fn take(&mut self, source: Source, now: Duration) -> Taken {
+    /// Takes out the statistics for an assigner's next report. They are reported at most once: a report lost with its
+    /// stream is not repeated. Only a report that was not completely written to its stream can't have been read, and is
+    /// returned with [`LoadStats::restore_report`].
+    pub fn take_report(&mut self, source: Source, now: Duration) -> PendingReport {
         let since = std::mem::replace(&mut self.since[source], now);
-        let sums = std::mem::take(&mut self.sums[source]);
-        Taken { source, since, until: now, sums }
+        let by_slice = std::mem::take(&mut self.by_slice[source]);
+        PendingReport { source, since, until: now, by_slice }
     }
 
-    /// Adds what could not be told to what came since.
-    pub fn put_back(&mut self, taken: Taken) {
-        self.since[taken.source] = self.since[taken.source].min(taken.since);
-        for (about, before) in taken.sums {
-            let came = self.sums[taken.source].entry(about).or_default();
-            came.dropped += before.dropped;
-            came.waited_out += before.waited_out;
-            for (server, before) in before.tries {
-                let tries = came.tries.entry(server).or_default();
-                tries.tries += before.tries;
-                tries.ok += before.ok;
-                tries.pushed_back += before.pushed_back;
-                tries.wait += before.wait;
+    /// Adds the statistics of a report that could not be sent to those recorded since.
+    pub fn restore_report(&mut self, pending: PendingReport) {
+        self.since[pending.source] = self.since[pending.source].min(pending.since);
+        for (slice_method, before) in pending.by_slice {
+            let slice_stats = self.by_slice[pending.source].entry(slice_method).or_default();
+            slice_stats.dropped += before.dropped;
+            slice_stats.hold_expired += before.hold_expired;
+            for (server, before) in before.by_server {
+                let server_stats = slice_stats.by_server.entry(server).or_default();
+                server_stats.tries += before.tries;
+                server_stats.ok += before.ok;
+                server_stats.pushed_back += before.pushed_back;
+                server_stats.ok_latency += before.ok_latency;
             }
         }
     }
 
-    /// What was taken out, as the protocol tells it.
-    pub fn report(&self, taken: &Taken, service: &Service) -> proto::LoadStatsRequest {
-        let nothing = Came::default();
-        let out = &self.out[taken.source];
-        let quiet = out.keys().filter(|about| !taken.sums.contains_key(about)).map(|about| (about, &nothing));
-        let stretch = taken.until.saturating_sub(taken.since);
-        let cluster_stats = taken.sums.iter().chain(quiet).map(|((slice, method), came)| {
-            let out = out.get(&(*slice, *method));
-            self.cluster(service.cluster_name(*slice, *method), came, out, stretch)
-        });
+    /// The report as a protocol message, including the tries in flight now.
+    pub fn to_proto(&self, pending: &PendingReport, service: &Service) -> proto::LoadStatsRequest {
+        let no_stats = SliceStats::default();
+        let in_flight = &self.in_flight[pending.source];
+        let only_in_flight = in_flight
+            .keys()
+            .filter(|slice_method| !pending.by_slice.contains_key(slice_method))
+            .map(|slice_method| (slice_method, &no_stats));
+        let interval = pending.until.saturating_sub(pending.since);
+        let cluster_stats =
+            pending.by_slice.iter().chain(only_in_flight).map(|((slice, method), slice_stats)| {
+                let in_flight = in_flight.get(&(*slice, *method));
+                self.cluster(service.cluster_name(*slice, *method), slice_stats, in_flight, interval)
+            });
         proto::LoadStatsRequest { node: None, cluster_stats: cluster_stats.collect() }
     }
 
+    /// The statistics of one slice and method.
     fn cluster(
         &self,
         cluster_name: String,
-        came: &Came,
-        out: Option<&OutAt>,
-        stretch: Duration,
+        slice_stats: &SliceStats,
+        in_flight: Option<&InFlightByServer>,
+        interval: Duration,
     ) -> proto::ClusterStats {
-        let none = Tries::default();
-        let out_at = |server: &Arc<str>| out.and_then(|out| out.get(server)).copied().unwrap_or(0);
-        let only_out = out.into_iter().flat_map(BTreeMap::keys).filter(|s| !came.tries.contains_key(*s));
-        let all = came.tries.iter().chain(only_out.map(|server| (server, &none)));
-        let upstream_endpoint_stats = all.map(|(server, tries)| self.endpoint(server, tries, out_at(server)));
-        let sum = |of: fn(&Tries) -> u64| came.tries.values().map(of).sum();
-        let (issued, ok): (u64, u64) = (sum(|t| t.tries), sum(|t| t.ok));
-        let dropped = [("level", came.dropped), ("hold", came.waited_out)];
+        let no_tries = ServerStats::default();
+        let in_flight_at =
+            |server: &Arc<str>| in_flight.and_then(|by_server| by_server.get(server)).copied().unwrap_or(0);
+        let only_in_flight = in_flight
+            .into_iter()
+            .flat_map(BTreeMap::keys)
+            .filter(|s| !slice_stats.by_server.contains_key(*s));
+        let all = slice_stats.by_server.iter().chain(only_in_flight.map(|server| (server, &no_tries)));
+        let upstream_endpoint_stats =
+            all.map(|(server, stats)| self.endpoint(server, stats, in_flight_at(server)));
+        let sum = |field: fn(&ServerStats) -> u64| slice_stats.by_server.values().map(field).sum();
+        let (issued, ok): (u64, u64) = (sum(|stats| stats.tries), sum(|stats| stats.ok));
+        let dropped = [("level", slice_stats.dropped), ("hold", slice_stats.hold_expired)];
         let dropped = dropped.into_iter().filter(|(_, count)| *count > 0);
         proto::ClusterStats {
             cluster_name,
             upstream_locality_stats: vec![proto::UpstreamLocalityStats {
                 locality: None,
                 total_successful_requests: ok,
-                total_requests_in_progress: out.into_iter().flat_map(BTreeMap::values).sum(),
+                total_requests_in_progress: in_flight.into_iter().flat_map(BTreeMap::values).sum(),
                 total_error_requests: issued - ok,
                 upstream_endpoint_stats: upstream_endpoint_stats.collect(),
                 total_issued_requests: issued,
             }],
-            total_dropped_requests: came.dropped + came.waited_out,
-            load_report_interval: Some(span(stretch)),
+            total_dropped_requests: slice_stats.dropped + slice_stats.hold_expired,
+            load_report_interval: Some(span(interval)),
             dropped_requests: dropped
                 .map(|(category, count)| proto::DroppedRequests {
                     category: category.to_string(),
@@ -216,30 +239,36 @@
         }
     }
 
-    fn endpoint(&self, server: &Arc<str>, tries: &Tries, out: u64) -> proto::UpstreamEndpointStats {
-        let wait = (tries.ok > 0).then(|| proto::EndpointLoadMetricStats {
-            metric_name: WAIT.to_string(),
-            num_requests_finished_with_metric: tries.ok,
-            total_metric_value: tries.wait.as_secs_f64() * 1e3,
+    /// The statistics of one server.
+    fn endpoint(
+        &self,
+        server: &Arc<str>,
+        stats: &ServerStats,
+        in_flight: u64,
+    ) -> proto::UpstreamEndpointStats {
+        let wait = (stats.ok > 0).then(|| proto::EndpointLoadMetricStats {
+            metric_name: WAIT_METRIC.to_string(),
+            num_requests_finished_with_metric: stats.ok,
+            total_metric_value: stats.ok_latency.as_secs_f64() * 1e3,
         });
-        let pushed_back = (tries.pushed_back > 0).then(|| proto::EndpointLoadMetricStats {
-            metric_name: PUSHED_BACK.to_string(),
-            num_requests_finished_with_metric: tries.pushed_back,
-            total_metric_value: tries.pushed_back as f64,
+        let pushed_back = (stats.pushed_back > 0).then(|| proto::EndpointLoadMetricStats {
+            metric_name: PUSHED_BACK_METRIC.to_string(),
+            num_requests_finished_with_metric: stats.pushed_back,
+            total_metric_value: stats.pushed_back as f64,
         });
-        let told = self.loads.get(server).into_iter().flatten();
-        let told = told.map(|(name, value)| proto::EndpointLoadMetricStats {
+        let reported = self.server_loads.get(server).into_iter().flatten();
+        let reported = reported.map(|(name, value)| proto::EndpointLoadMetricStats {
             metric_name: name.clone(),
             num_requests_finished_with_metric: 1,
             total_metric_value: *value,
         });
         proto::UpstreamEndpointStats {
             address: Some(address(server)),
-            total_successful_requests: tries.ok,
-            total_requests_in_progress: out,
-            total_error_requests: tries.tries - tries.ok,
-            load_metric_stats: wait.into_iter().chain(pushed_back).chain(told).collect(),
-            total_issued_requests: tries.tries,
+            total_successful_requests: stats.ok,
+            total_requests_in_progress: in_flight,
+            total_error_requests: stats.tries - stats.ok,
+            load_metric_stats: wait.into_iter().chain(pushed_back).chain(reported).collect(),
+            total_issued_requests: stats.tries,
         }
     }
 }
@@ -258,51 +287,51 @@
             .sum()
     }
 
-    fn met() -> (Met, Arc<str>) {
-        let (mut met, server): (Met, Arc<str>) = (Met::new(2), "127.0.0.1:7000".into());
-        for ended in [Ended::Ok, Ended::Lost, Ended::PushedBack] {
-            met.begins(0, (1, 0), &server);
-            met.tried(0, (1, 0), &server, ended, s(0.01));
+    fn stats_with_three_tries() -> (LoadStats, Arc<str>) {
+        let (mut stats, server): (LoadStats, Arc<str>) = (LoadStats::new(2), "127.0.0.1:7000".into());
+        for result in [TryResult::Ok, TryResult::Lost, TryResult::PushedBack] {
+            stats.try_started(0, (1, 0), &server);
+            stats.try_ended(0, (1, 0), &server, result, s(0.01));
         }
-        met.dropped(0, 1, 0);
-        (met, server)
+        stats.record_dropped(0, 1, 0);
+        (stats, server)
     }
 
     #[test]
-    fn what_could_not_be_told_is_told_later_and_what_was_told_never_again() {
-        let (mut met, server) = met();
-        let unsent = met.take(0, s(1.0));
-        assert_eq!(issued(&met.report(&unsent, &service())), 3);
-        met.begins(0, (1, 0), &server);
-        met.tried(0, (1, 0), &server, Ended::Ok, s(0.01));
-        met.put_back(unsent);
-        let taken = met.take(0, s(2.0));
-        let report = met.report(&taken, &service());
+    fn unsent_report_is_merged_into_the_next_and_sent_reports_are_not_repeated() {
+        let (mut stats, server) = stats_with_three_tries();
+        let unsent = stats.take_report(0, s(1.0));
+        assert_eq!(issued(&stats.to_proto(&unsent, &service())), 3);
+        stats.try_started(0, (1, 0), &server);
+        stats.try_ended(0, (1, 0), &server, TryResult::Ok, s(0.01));
+        stats.restore_report(unsent);
+        let pending = stats.take_report(0, s(2.0));
+        let report = stats.to_proto(&pending, &service());
         let cluster = &report.cluster_stats[0];
         assert_eq!((issued(&report), cluster.total_dropped_requests), (4, 1));
-        // It covers both stretches.
+        // The report covers both intervals.
         assert_eq!(cluster.load_report_interval.as_ref().and_then(proto::read_span), Some(s(2.0)));
-        let told = met.take(0, s(3.0));
-        assert!(met.report(&told, &service()).cluster_stats.is_empty());
+        let reported = stats.take_report(0, s(3.0));
+        assert!(stats.to_proto(&reported, &service()).cluster_stats.is_empty());
     }
 
     #[test]
-    fn work_out_and_push_backs_are_told_by_server() {
-        let (mut met, server) = met();
-        (0..2).for_each(|_| met.begins(0, (0, 1), &server));
-        let taken = met.take(0, s(1.0));
-        let report = met.report(&taken, &service());
+    fn tries_in_flight_and_push_backs_are_reported_by_server() {
+        let (mut stats, server) = stats_with_three_tries();
+        (0..2).for_each(|_| stats.try_started(0, (0, 1), &server));
+        let pending = stats.take_report(0, s(1.0));
+        let report = stats.to_proto(&pending, &service());
         assert_eq!(report.cluster_stats.len(), 2);
-        let of = |name: &str| report.cluster_stats.iter().find(|c| c.cluster_name == name).unwrap();
-        let met_at = &of("t/1.2/look").upstream_locality_stats[0];
-        let pushed_back = &met_at.upstream_endpoint_stats[0].load_metric_stats[1];
+        let cluster = |name: &str| report.cluster_stats.iter().find(|c| c.cluster_name == name).unwrap();
+        let locality = &cluster("t/1.2/look").upstream_locality_stats[0];
+        let pushed_back = &locality.upstream_endpoint_stats[0].load_metric_stats[1];
         assert_eq!((&*pushed_back.metric_name, pushed_back.total_metric_value), ("pushed_back", 1.0));
-        assert_eq!((met_at.total_successful_requests, met_at.total_error_requests), (1, 2));
-        let out_at = &of("t/0.2/book").upstream_locality_stats[0];
-        assert_eq!((out_at.total_requests_in_progress, out_at.total_issued_requests), (2, 0));
-        // What was not sent after all, and what ended, is out no more.
-        met.unsent(0, (0, 1), &server);
-        met.tried(0, (0, 1), &server, Ended::Ok, s(0.01));
-        assert!(met.out.iter().all(BTreeMap::is_empty));
+        assert_eq!((locality.total_successful_requests, locality.total_error_requests), (1, 2));
+        let other_locality = &cluster("t/0.2/book").upstream_locality_stats[0];
+        assert_eq!((other_locality.total_requests_in_progress, other_locality.total_issued_requests), (2, 0));
+        // Tries that were not sent and tries that ended are no longer in flight.
+        stats.try_not_sent(0, (0, 1), &server);
+        stats.try_ended(0, (0, 1), &server, TryResult::Ok, s(0.01));
+        assert!(stats.in_flight.iter().all(BTreeMap::is_empty));
     }
 }
--- a/crates/whinhill-proxy/src/shared.rs
+++ b/crates/whinhill-proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What a proxy's threads hold in common.
+//! State that a proxy's threads share.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError, RwLock};
@@ -8,115 +8,129 @@
 use rand_chacha::ChaCha8Rng;
 use whinhill_xds::mapping::Service;
 
-use crate::in_hand::InHand;
-use crate::pick::{Out, Pick};
-use crate::report::Met;
-use crate::table::Table;
+use crate::in_flight::ReadsInFlight;
+use crate::pick::{Pick, TriesInFlight};
+use crate::report::LoadStats;
+use crate::table::RoutingTable;
 
-/// Counters since the start.
+/// Counters since the proxy started.
 #[derive(Debug, Default)]
 pub struct Counts {
+    /// xDS replies that were applied.
     pub applied: AtomicU64,
+    /// xDS replies that were rejected.
     pub rejected: AtomicU64,
+    /// Table streams that were lost.
     pub reconnects: AtomicU64,
+    /// RPCs that a server answered with the status ok.
     pub forwarded: AtomicU64,
+    /// RPCs that the proxy pushed back.
     pub refused: AtomicU64,
+    /// RPCs that failed here or with a server's status.
     pub aborted: AtomicU64,
-    /// Reads in hand that a level of 0 stopped.
+    /// Reads in flight that a level of 0 stopped.
     pub stopped: AtomicU64,
-    /// The longest time for which a change of the table kept RPCs from looking at it.
+    /// The longest time for which a table change kept RPCs from reading the table, in microseconds.
     pub pause_us_most: AtomicU64,
 }
 
+/// State shared by the threads of one proxy.
 pub struct Shared {
     pub service: Arc<Service>,
+    /// Zero of the proxy's clock.
     pub start: Instant,
-    pub table: RwLock<Table>,
-    /// Counts changes of the table; RPCs that are held wait for the next.
-    changes: Mutex<u64>,
+    pub table: RwLock<RoutingTable>,
+    /// Number of table changes so far; RPCs that wait for a usable table wait for the next change.
+    change_count: Mutex<u64>,
     changed: Condvar,
-    pub met: Mutex<Met>,
-    /// Tries that are out, by server.
-    pub out: Out,
-    pub in_hand: InHand,
+    pub load_stats: Mutex<LoadStats>,
+    /// Number of tries in flight, by server.
+    pub tries_in_flight: TriesInFlight,
+    pub reads_in_flight: ReadsInFlight,
     pub counts: Counts,
     pub stop: AtomicBool,
-    chance: Mutex<ChaCha8Rng>,
+    rng: Mutex<ChaCha8Rng>,
 }
 
-/// A poisoned lock means that a thread panicked between two plain writes; what it guards is still whole.
+/// Locks a mutex, even a poisoned one: it means that a thread panicked between two plain writes, and the guarded data
+/// is still consistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
+    /// The state of a proxy with `sources` assigners; `seed` seeds its random numbers.
     pub fn new(service: Arc<Service>, sources: usize, seed: u64, pick: Pick) -> Self {
         Shared {
-            table: RwLock::new(Table::new(service.clone(), sources, pick)),
-            out: Out::default(),
-            in_hand: InHand::default(),
-            met: Mutex::new(Met::new(sources)),
+            table: RwLock::new(RoutingTable::new(service.clone(), sources, pick)),
+            tries_in_flight: TriesInFlight::default(),
+            reads_in_flight: ReadsInFlight::default(),
+            load_stats: Mutex::new(LoadStats::new(sources)),
             service,
             start: Instant::now(),
-            changes: Mutex::new(0),
+            change_count: Mutex::new(0),
             changed: Condvar::new(),
             counts: Counts::default(),
             stop: AtomicBool::new(false),
-            chance: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
+            rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
         }
     }
 
-    /// The proxy's own clock: a span since its start.
+    /// The proxy's own clock: the time since its start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn read<T>(&self, look: impl FnOnce(&Table) -> T) -> T {
-        look(&self.table.read().unwrap_or_else(PoisonError::into_inner))
+    /// Reads the table.
+    pub fn read_table<T>(&self, read: impl FnOnce(&RoutingTable) -> T) -> T {
+        read(&self.table.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes the table in one step, and wakes what waits for a change.
-    pub fn change<T>(&self, act: impl FnOnce(&mut Table) -> T) -> T {
+    /// Changes the table in one step and wakes all threads that wait for a change.
+    pub fn change_table<T>(&self, change: impl FnOnce(&mut RoutingTable) -> T) -> T {
         let result = {
             let mut table = self.table.write().unwrap_or_else(PoisonError::into_inner);
-            let began = Instant::now();
-            let result = act(&mut table);
-            self.counts.pause_us_most.fetch_max(began.elapsed().as_micros() as u64, Ordering::Relaxed);
+            let started = Instant::now();
+            let result = change(&mut table);
+            self.counts.pause_us_most.fetch_max(started.elapsed().as_micros() as u64, Ordering::Relaxed);
             result
         };
-        *lock(&self.changes) += 1;
+        *lock(&self.change_count) += 1;
         self.changed.notify_all();
         result
     }
 
-    pub fn changes(&self) -> u64 {
-        *lock(&self.changes)
+    /// Number of table changes so far.
+    pub fn change_count(&self) -> u64 {
+        *lock(&self.change_count)
     }
 
-    /// Waits for a change after the one counted `seen`, until a time.
+    /// Waits until the change count differs from `seen`, at most until `until`.
     pub fn await_change(&self, seen: u64, until: Instant) {
-        let mut changes = lock(&self.changes);
-        while *changes == seen {
+        let mut change_count = lock(&self.change_count);
+        while *change_count == seen {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
-            let waited = self.changed.wait_timeout(changes, left);
-            changes = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = self.changed.wait_timeout(change_count, left);
+            change_count = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    pub fn draw(&self) -> f64 {
-        lock(&self.chance).random_range(0.0..1.0)
+    /// A random number, uniform from 0 to 1.
+    pub fn random(&self) -> f64 {
+        lock(&self.rng).random_range(0.0..1.0)
     }
 
+    /// Whether the proxy is stopping.
     pub fn stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Sleeps unless a stop comes first. False if it has come.
-    pub fn pause(&self, span: Duration) -> bool {
-        let until = Instant::now() + span;
+    /// Sleeps for `duration`, but returns false early if the proxy is stopping.
+    pub fn sleep(&self, duration: Duration) -> bool {
+        let until = Instant::now() + duration;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             if self.stopping() {
--- a/crates/whinhill-proxy/src/streams.rs
+++ b/crates/whinhill-proxy/src/streams.rs
@@ -1,5 +1,5 @@
-//! The streams to one assigner: tables in (ADS), figures out (LRS). Each has a thread; each is opened again
-//! after a failure, later each time, with chance in it.
+//! The streams to one assigner: ADS receives tables, LRS sends load reports. Each has its own thread and is reopened
+//! after a failure, with growing, randomised delays.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,72 +18,84 @@
 use crate::shared::{lock, Shared};
 use crate::table::{Applied, Source};
 
-/// The pause after a first failure, and the longest.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
-/// How often a waiting thread looks whether it must stop.
-const LOOK: Duration = Duration::from_millis(500);
-const WRITE_WITHIN: Duration = Duration::from_secs(3);
-/// The time between reports until the assigner names another.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// The delay after a first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest delay; a stream that stood for longer than this resets the delay.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// How often a waiting thread checks whether the proxy is stopping.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout for writing one message.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval between load reports until the assigner sets another.
+const DEFAULT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-pub struct Streams {
+/// What the streams to one assigner need.
+pub struct AssignerStreams {
     pub shared: Arc<Shared>,
     pub source: Source,
+    /// The assigner's name.
     pub assigner: String,
     pub addr: SocketAddr,
+    /// How the proxy identifies itself.
     pub node: proto::Node,
     pub variant: Variant,
     pub limits: Limits,
     pub drivers: Drivers,
     pub sabotage: Sabotage,
-    /// Replies to reject, whatever they hold: for days that rehearse it.
-    pub reject: Arc<AtomicU64>,
+    /// Number of following replies with endpoints to reject whatever they contain, for tests.
+    pub replies_to_reject: Arc<AtomicU64>,
 }
 
-/// Why a stream ended.
+/// Why a stream failed.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
+enum StreamError {
+    /// Connecting, sending or receiving failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("a message that is none of the protocol's: {0}")]
+    /// A message can't be decoded.
+    #[error("malformed message: {0}")]
     Decode(#[from] prost::DecodeError),
+    /// A reply violates the protocol.
     #[error(transparent)]
     Update(#[from] whinhill_xds::UpdateError),
+    /// The assigner ended the stream.
     #[error("the assigner ended the stream")]
     Closed,
 }
 
-/// The pauses between a stream and the next: twice as long after each failure, spread so that not all come at once.
-struct BackOff<'a> {
+/// The delays before a stream is reopened: doubled after each failure, and randomised so that not all proxies reconnect
+/// at once.
+struct Backoff<'a> {
     shared: &'a Shared,
     next: Duration,
 }
 
-impl<'a> BackOff<'a> {
+impl<'a> Backoff<'a> {
     fn new(shared: &'a Shared) -> Self {
-        BackOff { shared, next: BACK_OFF.0 }
+        Backoff { shared, next: INITIAL_BACKOFF }
     }
 
-    /// A stream that began then has failed. Whether it had stood for long: then pauses are short again.
-    fn stood(&mut self, began: Instant) -> bool {
-        let stood = began.elapsed() > BACK_OFF.1;
-        if stood {
-            self.next = BACK_OFF.0;
+    /// Resets the delay if the failed stream had stood for longer than [`MAX_BACKOFF`], counted from `started`. Returns
+    /// whether it had.
+    fn reset_after_long_stream(&mut self, started: Instant) -> bool {
+        let was_long = started.elapsed() > MAX_BACKOFF;
+        if was_long {
+            self.next = INITIAL_BACKOFF;
         }
-        stood
+        was_long
     }
 
-    /// Pauses. False if the proxy stops.
-    fn pause(&mut self) -> bool {
-        let wait = self.next.mul_f64(0.5 + self.shared.draw());
-        self.next = (self.next * 2).min(BACK_OFF.1);
-        self.shared.pause(wait)
+    /// Waits for the next delay. False if the proxy is stopping.
+    fn sleep(&mut self) -> bool {
+        let wait = self.next.mul_f64(0.5 + self.shared.random());
+        self.next = (self.next * 2).min(MAX_BACKOFF);
+        self.shared.sleep(wait)
     }
 }
 
-impl Streams {
-    /// Follows tables until the proxy stops.
-    pub fn follow(self) {
+impl AssignerStreams {
+    /// Receives and applies tables until the proxy stops.
+    pub fn run_table_stream(self) {
         let mut client = ClientStream::new(self.variant, self.node.clone());
         client.tell_holdings();
         client.subscribe(Kind::Cluster, true, BTreeSet::new());
@@ -91,25 +103,26 @@
         let listeners: BTreeSet<String> = [false, true].map(|writes| service.listener_name(writes)).into();
         client.subscribe(Kind::Listener, false, listeners.clone());
         client.subscribe(Kind::Route, false, listeners);
-        let mut back_off = BackOff::new(&self.shared);
+        let mut backoff = Backoff::new(&self.shared);
         while !self.shared.stopping() {
-            let began = Instant::now();
-            let error = match self.stream(&mut client) {
+            let started = Instant::now();
+            let error = match self.follow_tables(&mut client) {
                 Ok(()) => return,
                 Err(error) => error,
             };
-            self.shared.change(|table| table.stream_lost(self.source));
+            self.shared.change_table(|table| table.stream_lost(self.source));
             self.shared.counts.reconnects.fetch_add(1, Ordering::Relaxed);
-            if back_off.stood(began) {
+            if backoff.reset_after_long_stream(started) {
                 info!(proxy = %self.node.id, assigner = %self.assigner, %error, "table stream lost");
             }
-            if !back_off.pause() {
+            if !backoff.sleep() {
                 return;
             }
         }
     }
 
-    fn stream(&self, client: &mut ClientStream) -> Result<(), Ended> {
+    /// Runs one table stream until it fails or the proxy stops.
+    fn follow_tables(&self, client: &mut ClientStream) -> Result<(), StreamError> {
         let connection = Client::connect(self.addr, self.limits.clone(), &self.drivers)?;
         let (mut writer, pending) = connection.call(self.variant.path(), &[], self.limits.handshake)?;
         for request in client.open() {
@@ -121,33 +134,34 @@
                 writer.finish()?;
                 return Ok(());
             }
-            let message = match reader.recv(LOOK) {
+            let message = match reader.recv(STOP_CHECK_INTERVAL) {
                 Err(CallError::Deadline(_)) => continue,
-                other => other?.ok_or(Ended::Closed)?,
+                other => other?.ok_or(StreamError::Closed)?,
             };
             let response = Response::decode(self.variant, &message)?;
             let update = client.hear(&response)?;
-            for request in self.take(client, &update) {
+            for request in self.handle_update(client, &update) {
                 self.send(&mut writer, &request)?;
             }
         }
     }
 
-    fn send(&self, writer: &mut MessageWriter, request: &Request) -> Result<(), Ended> {
+    /// Sends a request, and notes the time if it concerns the write lease.
+    fn send(&self, writer: &mut MessageWriter, request: &Request) -> Result<(), StreamError> {
         let url = match request {
             Request::StateOfTheWorld(request) => &request.type_url,
             Request::Incremental(request) => &request.type_url,
         };
-        // Before it is sent: the lease must not be reckoned from a time later than the send.
+        // Noted before sending: the lease must not count from a time later than the request was sent.
         if url == Kind::Route.type_url() {
-            self.shared.change(|table| table.lease_asked(self.source, self.shared.now()));
+            self.shared.change_table(|table| table.lease_requested(self.source, self.shared.now()));
         }
-        writer.send(&request.encode(), WRITE_WITHIN)?;
+        writer.send(&request.encode(), WRITE_TIMEOUT)?;
         Ok(())
     }
 
-    /// Applies a reply whole or not at all, and returns what is to be sent for it.
-    fn take(&self, client: &mut ClientStream, update: &Update) -> Vec<Request> {
+    /// Applies a reply completely or not at all, and returns the requests to send for it.
+    fn handle_update(&self, client: &mut ClientStream, update: &Update) -> Vec<Request> {
         match self.apply(update) {
             Ok(()) => {
                 self.shared.counts.applied.fetch_add(1, Ordering::Relaxed);
@@ -166,6 +180,7 @@
         }
     }
 
+    /// Applies a reply completely, or returns the reason for its rejection.
     fn apply(&self, update: &Update) -> Result<(), String> {
         if let Some(fault) = &update.fault {
             return Err(fault.clone());
@@ -175,17 +190,20 @@
         match update.kind {
             Kind::Endpoints => {
                 let with_body = update.resources.iter().filter_map(|r| Some((r, r.body.as_ref()?)));
-                let read = with_body.map(|(r, body)| read_assignment(service, &r.name, &r.version, body));
+                let decoded = with_body.map(|(r, body)| read_assignment(service, &r.name, &r.version, body));
                 let assignments: Vec<Assignment> =
-                    read.collect::<Result<_, _>>().map_err(|error| error.to_string())?;
-                let to_reject = |left: u64| left.checked_sub(1);
+                    decoded.collect::<Result<_, _>>().map_err(|error| error.to_string())?;
+                let decrement = |left: u64| left.checked_sub(1);
                 if !assignments.is_empty()
-                    && self.reject.fetch_update(Ordering::Relaxed, Ordering::Relaxed, to_reject).is_ok()
+                    && self
+                        .replies_to_reject
+                        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
+                        .is_ok()
                 {
                     return Err("rejected by order of the day's script".to_string());
                 }
-                let shut = shared.change(|table| {
-                    let mut shut = Vec::new();
+                let closed = shared.change_table(|table| {
+                    let mut closed = Vec::new();
                     for assignment in &assignments {
                         table.check(source, assignment).map_err(|conflict| conflict.to_string())?;
                     }
@@ -195,19 +213,20 @@
                         {
                             continue;
                         }
-                        if table.apply(source, assignment) == Applied::Shut {
-                            shut.push((assignment.slice, assignment.method));
+                        if table.apply(source, assignment) == Applied::Closed {
+                            closed.push((assignment.slice, assignment.method));
                         }
                     }
                     for name in &update.removed {
                         if let Some((slice, method)) = service.of_cluster_name(name) {
-                            table.withdrawn(source, slice, method);
+                            table.withdraw(source, slice, method);
                         }
                     }
-                    Ok::<_, String>(shut)
+                    Ok::<_, String>(closed)
                 })?;
-                // After the change: what is let in by a later table is not concerned.
-                let stopped: usize = shut.into_iter().map(|about| shared.in_hand.stop(about)).sum();
+                // Stopped after the change, so that reads admitted by a later table are not affected.
+                let stopped: usize =
+                    closed.into_iter().map(|slice_method| shared.reads_in_flight.stop(slice_method)).sum();
                 shared.counts.stopped.fetch_add(stopped as u64, Ordering::Relaxed);
                 Ok(())
             }
@@ -221,11 +240,11 @@
                         ));
                     }
                 }
-                shared.change(|table| {
+                shared.change_table(|table| {
                     for (slice, method) in
                         update.removed.iter().filter_map(|name| service.of_cluster_name(name))
                     {
-                        table.withdrawn(source, slice, method);
+                        table.withdraw(source, slice, method);
                     }
                 });
                 Ok(())
@@ -234,7 +253,7 @@
                 let writes = service.listener_name(true);
                 for resource in update.resources.iter().filter(|r| r.name == writes) {
                     let ttl = resource.ttl.unwrap_or(service.write_lease).min(service.write_lease);
-                    shared.change(|table| table.lease_renewed(source, ttl));
+                    shared.change_table(|table| table.lease_renewed(source, ttl));
                 }
                 Ok(())
             }
@@ -242,57 +261,60 @@
         }
     }
 
-    /// Tells what was met until the proxy stops.
-    pub fn report(self) {
-        let mut back_off = BackOff::new(&self.shared);
+    /// Sends load reports until the proxy stops.
+    pub fn run_report_stream(self) {
+        let mut backoff = Backoff::new(&self.shared);
         while !self.shared.stopping() {
-            let began = Instant::now();
-            if self.report_stream().is_ok() {
+            let started = Instant::now();
+            if self.send_reports().is_ok() {
                 return;
             }
-            back_off.stood(began);
-            if !back_off.pause() {
+            backoff.reset_after_long_stream(started);
+            if !backoff.sleep() {
                 return;
             }
         }
     }
 
-    fn report_stream(&self) -> Result<(), Ended> {
+    /// Runs one load report stream until it fails or the proxy stops.
+    fn send_reports(&self) -> Result<(), StreamError> {
         let connection = Client::connect(self.addr, self.limits.clone(), &self.drivers)?;
         let (mut writer, pending) = connection.call(LRS_PATH, &[], self.limits.handshake)?;
         let first = proto::LoadStatsRequest { node: Some(self.node.clone()), cluster_stats: Vec::new() };
-        writer.send(&first.encode_to_vec(), WRITE_WITHIN)?;
+        writer.send(&first.encode_to_vec(), WRITE_TIMEOUT)?;
         let mut reader = pending.head(self.limits.handshake)?.reader;
-        let mut every = REPORT_EVERY;
-        let mut next = Instant::now() + every;
+        let mut interval = DEFAULT_REPORT_INTERVAL;
+        let mut next = Instant::now() + interval;
         loop {
             if self.shared.stopping() {
                 writer.finish()?;
                 return Ok(());
             }
             let left = next.saturating_duration_since(Instant::now());
-            match reader.recv(left.min(LOOK)) {
+            match reader.recv(left.min(STOP_CHECK_INTERVAL)) {
                 Err(CallError::Deadline(_)) => {}
                 Ok(Some(message)) => {
-                    let told = proto::LoadStatsResponse::decode(message)?;
-                    let asked = told.load_reporting_interval.as_ref().and_then(read_span);
-                    every = asked.unwrap_or(every).clamp(Duration::from_millis(50), Duration::from_secs(60));
-                    next = next.min(Instant::now() + every);
+                    let response = proto::LoadStatsResponse::decode(message)?;
+                    let requested = response.load_reporting_interval.as_ref().and_then(read_span);
+                    interval = requested
+                        .unwrap_or(interval)
+                        .clamp(Duration::from_millis(50), Duration::from_secs(60));
+                    next = next.min(Instant::now() + interval);
                 }
-                other => return Err(other?.map_or(Ended::Closed, |_| Ended::Closed)),
+                other => return Err(other?.map_or(StreamError::Closed, |_| StreamError::Closed)),
             }
             if Instant::now() >= next {
-                next += every;
+                next += interval;
                 let now = self.shared.now();
-                let (taken, report) = {
-                    let mut met = lock(&self.shared.met);
-                    let taken = met.take(self.source, now);
-                    let report = met.report(&taken, &self.shared.service);
-                    (taken, report)
+                let (pending, report) = {
+                    let mut stats = lock(&self.shared.load_stats);
+                    let pending = stats.take_report(self.source, now);
+                    let report = stats.to_proto(&pending, &self.shared.service);
+                    (pending, report)
                 };
-                if let Err(error) = writer.send(&report.encode_to_vec(), WRITE_WITHIN) {
-                    // A part of a message tells nothing: none of it has been told.
-                    lock(&self.shared.met).put_back(taken);
+                if let Err(error) = writer.send(&report.encode_to_vec(), WRITE_TIMEOUT) {
+                    // An incomplete message can't be decoded: none of the report was delivered.
+                    lock(&self.shared.load_stats).restore_report(pending);
                     return Err(error.into());
                 }
             }
@@ -310,8 +332,8 @@
     use crate::table::tests::{s, service};
     use crate::table::{Refusal, Route};
 
-    fn streams() -> Streams {
-        Streams {
+    fn streams() -> AssignerStreams {
+        AssignerStreams {
             shared: Arc::new(Shared::new(service(), 1, 1, Pick::ByWeight)),
             source: 0,
             assigner: "a".into(),
@@ -321,11 +343,11 @@
             limits: Limits::default(),
             drivers: Drivers::start("streams", 1).unwrap(),
             sabotage: Sabotage::default(),
-            reject: Arc::default(),
+            replies_to_reject: Arc::default(),
         }
     }
 
-    /// Every table of a service of so many slices, with one owner.
+    /// A reply with every table of a service with this number of slices, all with one owner.
     fn tables(slices: usize, kind: Kind) -> Update {
         let service = Service { slices, ..(*service()).clone() };
         let table = whinhill_tables::SliceTable {
@@ -334,7 +356,7 @@
             shares: vec![1.0, 1.0],
             tries: 0,
         };
-        let one = |(slice, method)| {
+        let resource = |(slice, method)| {
             let entry = match kind {
                 Kind::Cluster => service.cluster(slice, method),
                 _ => service.endpoints(slice, method, &table),
@@ -343,38 +365,38 @@
             Received { name, version, ttl: None, body: Some(entry.body) }
         };
         let all = (0..slices).flat_map(|slice| [(slice, 0), (slice, 1)]);
-        let resources = all.map(one).collect();
+        let resources = all.map(resource).collect();
         let (nonce, set_version) = ("1".to_string(), "1".to_string());
         Update { kind, nonce, set_version, resources, removed: Vec::new(), fault: None }
     }
 
-    fn look(streams: &Streams) -> Route {
+    fn route(streams: &AssignerStreams) -> Route {
         let draws = Draws { level: 0.0, first: 0.0, second: 0.0 };
-        streams.shared.read(|table| table.route(s(1.0), 1, 0, draws, |_| 0))
+        streams.shared.read_table(|table| table.route(s(1.0), 1, 0, draws, |_| 0))
     }
 
     #[test]
-    fn tables_by_another_slice_count_are_rejected_by_name_and_the_former_stand() {
+    fn tables_for_another_slice_count_are_rejected_by_name_and_old_ones_stay() {
         let streams = streams();
         for kind in [Kind::Cluster, Kind::Endpoints] {
             let reason = streams.apply(&tables(3, kind)).unwrap_err();
             assert!(reason.contains("t/0.3/look"), "{reason}");
         }
-        assert_eq!(look(&streams), Route::Wait(Refusal::NoLine));
+        assert_eq!(route(&streams), Route::Wait(Refusal::NoLine));
         streams.apply(&tables(2, Kind::Cluster)).unwrap();
         streams.apply(&tables(2, Kind::Endpoints)).unwrap();
-        assert!(matches!(look(&streams), Route::Send { .. }));
+        assert!(matches!(route(&streams), Route::Send { .. }));
         assert!(streams.apply(&tables(3, Kind::Endpoints)).is_err());
-        assert!(matches!(look(&streams), Route::Send { .. }));
+        assert!(matches!(route(&streams), Route::Send { .. }));
     }
 
     #[test]
-    fn a_reply_with_one_bad_table_changes_nothing() {
+    fn reply_with_one_malformed_table_changes_nothing() {
         let streams = streams();
-        let mut half = tables(2, Kind::Endpoints);
-        half.resources[3].body = Some(bytes::Bytes::from_static(b"\xff"));
-        let reason = streams.apply(&half).unwrap_err();
+        let mut update = tables(2, Kind::Endpoints);
+        update.resources[3].body = Some(bytes::Bytes::from_static(b"\xff"));
+        let reason = streams.apply(&update).unwrap_err();
         assert!(reason.contains("t/1.2/book"), "{reason}");
-        assert_eq!(look(&streams), Route::Wait(Refusal::NoLine));
+        assert_eq!(route(&streams), Route::Wait(Refusal::NoLine));
     }
 }
--- a/crates/whinhill-proxy/src/table.rs
+++ b/crates/whinhill-proxy/src/table.rs
@@ -1,9 +1,9 @@
-//! What a proxy may send where: tables of all assigners together, write leases, levels. No I/O, no clock.
+//! Decides what the proxy may send where, from the tables, write leases and levels of all assigners. No I/O, no clock.
 //!
-//! Two rules keep writes at one owner. An older epoch never replaces a newer one, from whichever assigner it
-//! comes. And writes go on only within a lease, reckoned from the time at which we last *answered* the assigner
-//! before it renewed: it has heard that answer, so it sent the renewal later, and no message held up on its way
-//! can make the lease end after the assigner takes it for ended.
+//! Two rules keep the writes of a slice at one owner. An older epoch never replaces a newer one, no matter which
+//! assigner sends it. And writes are sent only within a lease that counts from the time at which the proxy last
+//! *answered* the assigner before the renewal: the assigner received that answer before it sent the renewal, so a
+//! delayed message can't make the lease end here later than the assigner assumes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,34 +13,35 @@
 use whinhill_tables::Version;
 use whinhill_xds::mapping::{Assignment, Service};
 
-use crate::pick::{pick, Draws, Pick};
+use crate::pick::{pick_server, Draws, Pick};
 
-/// An assigner, counted in the order of the configuration.
+/// An assigner, by its position in the configuration.
 pub type Source = usize;
 
-/// Where an RPC goes.
+/// The decision for an RPC.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Route {
-    /// To this server; `tries` says when it may be tried again elsewhere.
+    /// Send it to this server; `tries` is the table's retry setting.
     Send { server: Arc<str>, tries: u8, version: Version },
-    /// Nobody serves it now, or writes have no lease: it may wait for the hold.
+    /// No server has the slice now, or writes have no lease: the RPC may wait for the service's hold time.
     Wait(Refusal),
-    /// Pushed back at once.
+    /// Push it back at once.
     Refuse(Refusal),
 }
 
 /// Why an RPC is pushed back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The level shuts it out.
+    /// The level doesn't admit it.
     Level,
-    /// The slice has no line.
+    /// The slice's table has no line.
     NoLine,
-    /// The write lease has ended, or was never given.
+    /// The write lease has ended or was never granted.
     NoLease,
 }
 
 impl Refusal {
+    /// The reason as clients see it.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::Level => "level",
@@ -50,183 +51,205 @@
     }
 }
 
-/// What became of an assignment that came.
+/// Result of applying an assignment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    New,
-    /// It lets nothing in any more, which the one before did: what waits or can be stopped is to end.
-    Shut,
-    /// A newer epoch is held: it binds nobody here.
-    Older {
-        held: Version,
-    },
+    /// The assignment is in force.
+    Updated,
+    /// It is in force and admits nothing, unlike the one before: RPCs that wait or can be stopped must end.
+    Closed,
+    /// It was ignored, because a newer epoch is in force.
+    OlderEpoch { held: Version },
 }
 
-/// Why an assignment can't be: its reply must be rejected.
+/// Why an assignment is invalid; the whole reply must then be rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Conflict {
+    /// Another assigner has published the same epoch.
     #[error("slice {slice}: epoch {epoch} is held from another assigner")]
-    TwoInCharge { slice: SliceId, epoch: u64 },
+    SameEpochElsewhere { slice: SliceId, epoch: u64 },
+    /// The version is lower than the one in force, in the same epoch.
     #[error("slice {slice}: {to} after {from} of the same epoch")]
-    Backwards { slice: SliceId, from: Version, to: Version },
+    VersionRegression { slice: SliceId, from: Version, to: Version },
 }
 
+/// The table in force for a slice and method.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldTable {
     source: Source,
     version: Version,
+    /// Servers and their weights.
     lines: Vec<(Arc<str>, u32)>,
+    /// The share of RPCs that is admitted.
     share: f64,
+    /// The retry setting.
     tries: u8,
-    /// Set once the assigner has withdrawn it: its writes end then, whatever the assigner renews.
-    frozen: Option<Duration>,
+    /// Set once the assigner has withdrawn the table: the end of the lease at that time. Writes end then, whatever the
+    /// assigner renews.
+    withdrawn_lease_end: Option<Duration>,
 }
 
+/// The write lease from one assigner.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lease {
-    /// When we last answered on the lease's resource.
-    asked: Option<Duration>,
-    until: Option<Duration>,
+    /// When the proxy last requested or acknowledged the lease's resource on the current stream.
+    requested_at: Option<Duration>,
+    expires_at: Option<Duration>,
 }
 
+/// The tables in force, by slice and method, and the write leases of all assigners.
 #[derive(Debug)]
-pub struct Table {
+pub struct RoutingTable {
     service: Arc<Service>,
-    slots: Vec<Option<Held>>,
-    /// The greatest epoch of each slice that was ever held.
+    /// By slice and method, see [`RoutingTable::index`].
+    tables: Vec<Option<HeldTable>>,
+    /// The highest epoch of each slice that was ever in force.
     epochs: Vec<u64>,
+    /// By source.
     leases: Vec<Lease>,
-    older: u64,
+    older_epoch_count: u64,
     pick: Pick,
 }
 
-impl Table {
+impl RoutingTable {
+    /// No tables and no leases, for `sources` assigners.
     pub fn new(service: Arc<Service>, sources: usize, pick: Pick) -> Self {
-        let slots = vec![None; service.slices * service.methods.len()];
+        let tables = vec![None; service.slices * service.methods.len()];
         let epochs = vec![0; service.slices];
-        Table { service, slots, epochs, leases: vec![Lease::default(); sources], older: 0, pick }
+        RoutingTable {
+            service,
+            tables,
+            epochs,
+            leases: vec![Lease::default(); sources],
+            older_epoch_count: 0,
+            pick,
+        }
     }
 
-    fn slot(&self, slice: SliceId, method: MethodId) -> usize {
+    fn index(&self, slice: SliceId, method: MethodId) -> usize {
         slice * self.service.methods.len() + method
     }
 
-    /// Whether an assignment may be applied at all; checked for a whole reply before any of it is.
+    /// Checks that an assignment may be applied. All assignments of a reply are checked before any is applied.
     pub fn check(&self, source: Source, new: &Assignment) -> Result<(), Conflict> {
         let (slice, to) = (new.slice, new.version);
-        match &self.slots[self.slot(slice, new.method)] {
+        match &self.tables[self.index(slice, new.method)] {
             Some(held) if held.version.epoch == to.epoch && held.source != source => {
-                Err(Conflict::TwoInCharge { slice, epoch: to.epoch })
+                Err(Conflict::SameEpochElsewhere { slice, epoch: to.epoch })
             }
             Some(held) if held.version.epoch == to.epoch && to < held.version => {
-                Err(Conflict::Backwards { slice, from: held.version, to })
+                Err(Conflict::VersionRegression { slice, from: held.version, to })
             }
             _ => Ok(()),
         }
     }
 
-    /// Applies an assignment that passed [`Table::check`].
+    /// Applies an assignment that passed [`RoutingTable::check`].
     pub fn apply(&mut self, source: Source, new: &Assignment) -> Applied {
-        let slot = self.slot(new.slice, new.method);
+        let index = self.index(new.slice, new.method);
         if new.version.epoch < self.epochs[new.slice] {
-            self.older += 1;
+            self.older_epoch_count += 1;
             let held = Version { epoch: self.epochs[new.slice], number: 0 };
-            return Applied::Older { held };
+            return Applied::OlderEpoch { held };
         }
         self.epochs[new.slice] = new.version.epoch;
         let lines = new.lines.iter().map(|(server, weight)| (Arc::from(server.as_str()), *weight)).collect();
         let (version, share, tries) = (new.version, new.share, new.tries);
-        let open = self.slots[slot].as_ref().is_some_and(|held| held.share > 0.0);
-        self.slots[slot] = Some(Held { source, version, lines, share, tries, frozen: None });
-        if open && share <= 0.0 {
-            Applied::Shut
+        let was_open = self.tables[index].as_ref().is_some_and(|held| held.share > 0.0);
+        self.tables[index] =
+            Some(HeldTable { source, version, lines, share, tries, withdrawn_lease_end: None });
+        if was_open && share <= 0.0 {
+            Applied::Closed
         } else {
-            Applied::New
+            Applied::Updated
         }
     }
 
-    /// The assigner no longer tells of a slice and method. Reads go on by what is held until another table comes;
-    /// writes for as long as the lease lasted when it was withdrawn.
-    pub fn withdrawn(&mut self, source: Source, slice: SliceId, method: MethodId) {
-        let until = self.leases[source].until.unwrap_or_default();
-        let slot = self.slot(slice, method);
-        if let Some(held) = self.slots[slot].as_mut().filter(|held| held.source == source) {
-            held.frozen.get_or_insert(until);
+    /// The assigner no longer publishes a slice and method. Reads continue with the old table until another one
+    /// arrives; writes continue until the lease in force at the withdrawal ends.
+    pub fn withdraw(&mut self, source: Source, slice: SliceId, method: MethodId) {
+        let until = self.leases[source].expires_at.unwrap_or_default();
+        let index = self.index(slice, method);
+        if let Some(held) = self.tables[index].as_mut().filter(|held| held.source == source) {
+            held.withdrawn_lease_end.get_or_insert(until);
         }
     }
 
-    /// We ask for the resource that carries the write lease, or answer it.
-    pub fn lease_asked(&mut self, source: Source, now: Duration) {
-        self.leases[source].asked = Some(now);
+    /// The proxy is about to request or acknowledge the resource that carries the write lease.
+    pub fn lease_requested(&mut self, source: Source, now: Duration) {
+        self.leases[source].requested_at = Some(now);
     }
 
-    /// It came, or was renewed.
+    /// The write lease was granted or renewed, for `ttl` from the last request.
     pub fn lease_renewed(&mut self, source: Source, ttl: Duration) {
         let lease = &mut self.leases[source];
-        let until = lease.asked.map(|asked| asked + ttl);
-        lease.until = lease.until.max(until);
+        let expires_at = lease.requested_at.map(|requested_at| requested_at + ttl);
+        lease.expires_at = lease.expires_at.max(expires_at);
     }
 
-    /// The stream broke: what was asked on it is answered by nobody. The lease runs on to its end.
+    /// The stream was lost, and its requests will not be answered. The lease remains until its end.
     pub fn stream_lost(&mut self, source: Source) {
-        self.leases[source].asked = None;
+        self.leases[source].requested_at = None;
     }
 
-    /// Until when writes may go by an assigner's tables.
+    /// Until when writes may be sent according to an assigner's tables.
     pub fn lease_until(&self, source: Source) -> Option<Duration> {
-        self.leases[source].until
+        self.leases[source].expires_at
     }
 
-    /// Where an RPC goes now; `out` tells this proxy's own work out at a server.
+    /// Decides where an RPC goes now; `in_flight` returns the number of this proxy's tries in flight to a server.
     pub fn route(
         &self,
         now: Duration,
         slice: SliceId,
         method: MethodId,
         draws: Draws,
-        out: impl Fn(&str) -> u32,
+        in_flight: impl Fn(&str) -> u32,
     ) -> Route {
-        let Some(held) = &self.slots[self.slot(slice, method)] else { return Route::Wait(Refusal::NoLine) };
+        let Some(held) = &self.tables[self.index(slice, method)] else { return Route::Wait(Refusal::NoLine) };
         if draws.level >= held.share {
             return Route::Refuse(Refusal::Level);
         }
         if self.service.methods[method].writes && !self.may_write(now, held) {
             return Route::Wait(Refusal::NoLease);
         }
-        match pick(self.pick, &held.lines, draws, out) {
+        match pick_server(self.pick, &held.lines, draws, in_flight) {
             Some(server) => Route::Send { server: server.clone(), tries: held.tries, version: held.version },
             None => Route::Wait(Refusal::NoLine),
         }
     }
 
-    fn may_write(&self, now: Duration, held: &Held) -> bool {
-        // A slice that another epoch has been seen for is no longer this table's, method by method.
-        let until = held.frozen.or(self.leases[held.source].until);
+    /// Whether writes may be sent by a table now.
+    fn may_write(&self, now: Duration, held: &HeldTable) -> bool {
+        // A newer epoch replaces the tables of a slice one method at a time: until then, a method's table is valid for
+        // as long as the lease from its own assigner.
+        let until = held.withdrawn_lease_end.or(self.leases[held.source].expires_at);
         until.is_some_and(|until| now < until)
     }
 
-    /// Whether a write drawn a moment ago may still be sent: the last look before its first byte.
-    pub fn still(&self, now: Duration, slice: SliceId, method: MethodId, version: Version) -> bool {
-        let held = self.slots[self.slot(slice, method)].as_ref();
+    /// Whether a write may still be sent by the table version that chose its server: the last check before the first
+    /// byte.
+    pub fn may_still_write(&self, now: Duration, slice: SliceId, method: MethodId, version: Version) -> bool {
+        let held = self.tables[self.index(slice, method)].as_ref();
         held.is_some_and(|held| held.version == version && held.share > 0.0 && self.may_write(now, held))
     }
 
-    /// Which assigner a slice's figures go to.
+    /// The assigner that receives the load reports of a slice and method.
     pub fn source_of(&self, slice: SliceId, method: MethodId) -> Option<Source> {
-        self.slots[self.slot(slice, method)].as_ref().map(|held| held.source)
+        self.tables[self.index(slice, method)].as_ref().map(|held| held.source)
     }
 
-    /// Assignments of an older epoch that came and were not obeyed.
-    pub fn older(&self) -> u64 {
-        self.older
+    /// Number of assignments ignored because of their older epoch.
+    pub fn older_epoch_count(&self) -> u64 {
+        self.older_epoch_count
     }
 
-    /// Versions held, by slice and method, for listings.
+    /// The versions in force, by slice and method.
     pub fn versions(&self) -> BTreeMap<(SliceId, MethodId), Version> {
         let methods = self.service.methods.len();
         let held =
-            self.slots.iter().enumerate().filter_map(|(slot, held)| Some((slot, held.as_ref()?.version)));
-        held.map(|(slot, version)| ((slot / methods, slot % methods), version)).collect()
+            self.tables.iter().enumerate().filter_map(|(index, held)| Some((index, held.as_ref()?.version)));
+        held.map(|(index, version)| ((index / methods, index % methods), version)).collect()
     }
 }
 
