--- a/crates/whinhill-proxy/src/connections.rs
+++ b/crates/whinhill-proxy/src/connections.rs
@@ -245,6 +245,7 @@
         ended
     }
 
+    /// An open connection.
     fn find(&mut self, server: &Arc<str>, id: ConnectionId) -> Option<&mut Connection> {
         self.servers.get_mut(server)?.open.iter_mut().find(|connection| connection.id == id)
     }
@@ -323,11 +324,11 @@
     #[test]
     fn idle_connections_are_removed_and_number_of_servers_is_limited() {
         let (mut connections, a) = connections();
-        for (k, server) in ["a:1", "b:1", "c:1"].into_iter().enumerate() {
+        for (index, server) in ["a:1", "b:1", "c:1"].into_iter().enumerate() {
             let server: Arc<str> = server.into();
             assert_eq!(connections.place(ms(0), &server), Placement::Open);
             let id = connections.opened(ms(0), &server);
-            if k < 2 {
+            if index < 2 {
                 connections.rpc_ended(ms(0), &server, id, true);
             }
         }
@@ -415,7 +416,7 @@
                                 !in_flight.contains(&idle),
                                 "seed {seed}, step {step}: closed under an RPC"
                             );
-                            open.retain(|one| *one != idle);
+                            open.retain(|connection| *connection != idle);
                         }
                     }
                     _ => {}
--- a/crates/whinhill-proxy/src/pick.rs
+++ b/crates/whinhill-proxy/src/pick.rs
@@ -129,8 +129,8 @@
         counts
     }
 
-    fn roughly_equal(found: &[f64], wanted: &[f64]) -> bool {
-        found.iter().zip(wanted).all(|(found, wanted)| (found - wanted).abs() < 0.015)
+    fn roughly_equal(actual: &[f64], expected: &[f64]) -> bool {
+        actual.iter().zip(expected).all(|(actual, expected)| (actual - expected).abs() < 0.015)
     }
 
     #[test]
--- a/crates/whinhill-proxy/src/pool.rs
+++ b/crates/whinhill-proxy/src/pool.rs
@@ -87,10 +87,12 @@
         Pool { state: Mutex::new(state), availability_changed: Condvar::new(), limits, drivers, dial, start }
     }
 
+    /// Time since the pool was created.
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
+    /// Wakes the RPCs that wait for a connection, if any, and releases the lock.
     fn notify_waiters(&self, state: MutexGuard<'_, State>) {
         if state.waiters > 0 {
             self.availability_changed.notify_all();
--- a/crates/whinhill-proxy/src/table.rs
+++ b/crates/whinhill-proxy/src/table.rs
@@ -126,6 +126,7 @@
         }
     }
 
+    /// The index of a slice and method in `tables`.
     fn index(&self, slice: SliceId, method: MethodId) -> usize {
         slice * self.service.methods.len() + method
     }
