--- a/crates/whinhill-faults/src/schedule.rs
+++ b/crates/whinhill-faults/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Which system calls fail, with what, how often and when: read from text, decided without I/O.
+//! Which system calls fail, with which error, how often and when: parsed from text, evaluated without I/O.
 
 use std::str::FromStr;
 
@@ -29,7 +29,8 @@
     Rename,
 }
 
-const CALLS: [(&str, Call); 11] = [
+/// The names of calls in schedules.
+const CALL_NAMES: [(&str, Call); 11] = [
     ("accept", Call::Accept),
     ("socket", Call::Socket),
     ("connect", Call::Connect),
@@ -43,7 +44,8 @@
     ("rename", Call::Rename),
 ];
 
-const ERRORS: [(&str, i32); 16] = [
+/// The names of errors in schedules.
+const ERROR_NAMES: [(&str, i32); 16] = [
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
     ("EAGAIN", libc::EAGAIN),
     ("ECONNABORTED", libc::ECONNABORTED),
@@ -62,76 +64,81 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// What happens in place of a call, or to it.
+/// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The call fails with this number and is not made.
+    /// The call fails with this error number; the real call is not made.
     Error(i32),
-    /// The call moves so many bytes at most.
+    /// The call transfers at most this number of bytes.
     Short(usize),
 }
 
-/// The most bytes that a shortened call moves.
-const SHORT_MOST: u64 = 7;
+/// The most bytes that a shortened call transfers.
+const MAX_SHORT_BYTES: u64 = 7;
 
+/// A fault of a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum FaultKind {
     Error(i32),
     Short,
 }
 
-/// One line of a schedule.
+/// One rule of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 struct Rule {
     call: Call,
-    kinds: Vec<Kind>,
-    /// From 0 to 1.
+    /// The faults, of which each failing call gets one at random.
+    kinds: Vec<FaultKind>,
+    /// The probability that a call fails, from 0 to 1.
     chance: f64,
-    /// In seconds since the process started.
+    /// Start of the rule, in seconds since the process started.
     from: f64,
+    /// End of the rule, exclusive, in the same unit.
     until: f64,
 }
 
-/// A step of the wall clock, in seconds, and when it is made.
+/// A step of the wall clock by `by` seconds, `at` seconds after the start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Step {
+struct ClockStep {
     by: i64,
     at: f64,
 }
 
-/// Why a text is no schedule.
+/// A part of the text is not valid in a schedule.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is none of seed=N, clock=SECONDS:AT, CALL=FAULT|FAULT@CHANCE:FROM-UNTIL")]
 pub struct ScheduleError(String);
 
-/// All that a process is to meet.
+/// All faults of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
     seed: u64,
     rules: Vec<Rule>,
-    steps: Vec<Step>,
+    clock_steps: Vec<ClockStep>,
 }
 
 impl Schedule {
-    /// Whether the `count`th call of the process, made `at` seconds after its start, meets a fault.
+    /// The fault, if any, for the `count`th call of the process, made `at` seconds after its start.
     pub fn fault(&self, call: Call, at: f64, count: u64) -> Option<Fault> {
         let mut draws = Draws::new(self.seed, count);
-        let due = |rule: &&Rule| rule.call == call && rule.from <= at && at < rule.until;
-        for rule in self.rules.iter().filter(due) {
-            let met = draws.part() < rule.chance;
+        let applies = |rule: &&Rule| rule.call == call && rule.from <= at && at < rule.until;
+        for rule in self.rules.iter().filter(applies) {
+            let chance_met = draws.unit() < rule.chance;
             let kind = rule.kinds.get(draws.below(rule.kinds.len() as u64) as usize);
-            match kind.filter(|_| met) {
-                Some(Kind::Error(number)) => return Some(Fault::Error(*number)),
-                Some(Kind::Short) => return Some(Fault::Short(1 + draws.below(SHORT_MOST) as usize)),
+            match kind.filter(|_| chance_met) {
+                Some(FaultKind::Error(number)) => return Some(Fault::Error(*number)),
+                Some(FaultKind::Short) => {
+                    return Some(Fault::Short(1 + draws.below(MAX_SHORT_BYTES) as usize))
+                }
                 None => {}
             }
         }
         None
     }
 
-    /// By how many seconds the wall clock is off, `at` seconds after the start.
-    pub fn clock_is_off(&self, at: f64) -> i64 {
-        self.steps.iter().filter(|step| step.at <= at).map(|step| step.by).sum()
+    /// The offset of the wall clock in seconds, `at` seconds after the start.
+    pub fn clock_offset(&self, at: f64) -> i64 {
+        self.clock_steps.iter().filter(|step| step.at <= at).map(|step| step.by).sum()
     }
 }
 
@@ -141,34 +148,35 @@
     fn from_str(text: &str) -> Result<Self, ScheduleError> {
         let mut schedule = Schedule::default();
         for part in text.split([' ', ',']).filter(|part| !part.is_empty()) {
-            schedule.add(part).ok_or_else(|| ScheduleError(part.to_string()))?;
+            schedule.add_part(part).ok_or_else(|| ScheduleError(part.to_string()))?;
         }
         Ok(schedule)
     }
 }
 
 impl Schedule {
-    fn add(&mut self, part: &str) -> Option<()> {
+    /// Parses one part of the text and adds it.
+    fn add_part(&mut self, part: &str) -> Option<()> {
         let (name, value) = part.split_once('=')?;
         match name {
             "seed" => self.seed = value.parse().ok()?,
             "clock" => {
                 let (by, at) = value.split_once(':')?;
-                self.steps.push(Step { by: by.parse().ok()?, at: at.parse().ok()? });
+                self.clock_steps.push(ClockStep { by: by.parse().ok()?, at: at.parse().ok()? });
             }
-            _ => self.rules.push(rule(name, value)?),
+            _ => self.rules.push(parse_rule(name, value)?),
         }
         Some(())
     }
 }
 
-/// `FAULT|FAULT@CHANCE:FROM-UNTIL`; without a chance always, without times from the start to the end.
-fn rule(name: &str, value: &str) -> Option<Rule> {
-    let call = CALLS.iter().find(|(known, _)| *known == name)?.1;
+/// Parses `FAULT|FAULT@CHANCE:FROM-UNTIL`; the default chance is 1, the default times are from the start without end.
+fn parse_rule(name: &str, value: &str) -> Option<Rule> {
+    let call = CALL_NAMES.iter().find(|(known, _)| *known == name)?.1;
     let (value, times) = value.split_once(':').unwrap_or((value, "0-inf"));
     let (faults, chance) = value.split_once('@').unwrap_or((value, "1"));
     let (from, until) = times.split_once('-')?;
-    let kinds = faults.split('|').map(kind).collect::<Option<Vec<Kind>>>()?;
+    let kinds = faults.split('|').map(parse_fault).collect::<Option<Vec<FaultKind>>>()?;
     Some(Rule {
         call,
         kinds,
@@ -178,15 +186,16 @@
     })
 }
 
-fn kind(name: &str) -> Option<Kind> {
-    let number = ERRORS.iter().find(|(known, _)| *known == name).map(|(_, number)| *number);
+/// Parses the name of a fault.
+fn parse_fault(name: &str) -> Option<FaultKind> {
+    let number = ERROR_NAMES.iter().find(|(known, _)| *known == name).map(|(_, number)| *number);
     match name {
-        "short" => Some(Kind::Short),
-        _ => number.map(Kind::Error),
+        "short" => Some(FaultKind::Short),
+        _ => number.map(FaultKind::Error),
     }
 }
 
-/// Numbers drawn for one call: the same for the same seed and count (SplitMix64, Steele and others, 2014).
+/// The random numbers of one call, determined by seed and count (SplitMix64, Steele and others, 2014).
 struct Draws(u64);
 
 impl Draws {
@@ -201,13 +210,14 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// From 0 to 1, without 1.
-    fn part(&mut self) -> f64 {
+    /// Uniform from 0 to 1, excluding 1.
+    fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        self.next() % most.max(1)
+    /// Below `limit`; 0 if that is 0.
+    fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit.max(1)
     }
 }
 
