--- a/crates/whinhill-standins/tests/byte_proxy.rs
+++ b/crates/whinhill-standins/tests/byte_proxy.rs
@@ -1,4 +1,4 @@
-//! The link as a proxy of bytes: pieces, and the end of one side alone.
+//! The link as a TCP proxy: splitting the stream into pieces, and forwarding a half-close.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,15 +7,15 @@
 
 use whinhill_standins::link::Link;
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads until the other side ends, tells what each read found, and then answers.
-fn server(answer: &'static [u8]) -> (SocketAddr, thread::JoinHandle<Vec<Vec<u8>>>) {
+/// A server that reads until the client ends its stream, and then answers. The thread returns the bytes of each read.
+fn start_server(answer: &'static [u8]) -> (SocketAddr, thread::JoinHandle<Vec<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let served = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        stream.set_read_timeout(Some(WITHIN)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let (mut reads, mut buffer) = (Vec::new(), [0; 4096]);
         loop {
             match stream.read(&mut buffer).unwrap() {
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn it_passes_the_end_of_one_side_on_and_carries_the_answer() {
-    let (addr, served) = server(b"an answer");
+fn half_close_is_forwarded_and_the_answer_still_arrives() {
+    let (addr, served) = start_server(b"an answer");
     let link = Link::start(addr, |_| {}).unwrap();
     link.half_close(true);
     let mut stream = TcpStream::connect(link.addr()).unwrap();
-    stream.set_read_timeout(Some(WITHIN)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.write_all(b"a request").unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     let mut answer = String::new();
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn it_cuts_a_stream_into_pieces_and_loses_none() {
-    let (addr, served) = server(b"an answer in pieces");
+fn stream_is_split_into_pieces_without_loss() {
+    let (addr, served) = start_server(b"an answer in pieces");
     let link = Link::start(addr, |_| {}).unwrap();
     link.half_close(true);
     link.cut_into_pieces(2);
     let mut stream = TcpStream::connect(link.addr()).unwrap();
-    stream.set_read_timeout(Some(WITHIN)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let request: Vec<u8> = (0..200).collect();
     stream.write_all(&request).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
--- a/crates/whinhill-standins/tests/requests_at_a_kill.rs
+++ b/crates/whinhill-standins/tests/requests_at_a_kill.rs
@@ -1,4 +1,5 @@
-//! What the auditor excuses at a kill and in a crowd, and what not.
+//! Which unanswered requests the platform's auditor excuses when a process is killed and when clients exceed the
+//! number of connections, and which it does not.
 
 use std::time::Duration;
 
@@ -9,14 +10,14 @@
     Duration::from_millis(ms)
 }
 
-/// SIGTERM at 10 s, the kill 0.7 s later, the process gone 5 ms after it, and the next one there after half a second.
-fn ended() -> Excuses {
+/// SIGTERM at 10 s, the kill 0.7 s later, the process gone 5 ms after it, and the next process up 0.5 s after the kill.
+fn excuses_of_one_kill() -> Excuses {
     let end = End { told: Some(ms(10_000)), killed: ms(10_700), gone: ms(10_705), back: Some(ms(11_200)) };
     Excuses { ends: vec![end], ..Excuses::default() }
 }
 
-/// A request on a connection of 9 s that broke.
-fn broken(sent: u64, never_looks: bool) -> Request {
+/// A request that was sent at `sent` on a connection opened at 9 s, and that ended with a reset.
+fn reset_request(sent: u64, never_looks: bool) -> Request {
     Request {
         client: 0,
         local: ([127, 0, 0, 1], 1).into(),
@@ -30,72 +31,83 @@
     }
 }
 
-fn judged(request: &Request, way: Way, excuses: &Excuses) -> RequestAudit {
+fn audit_of(request: &Request, way: Way, excuses: &Excuses) -> RequestAudit {
     judge(0, std::slice::from_ref(request), Duration::ZERO, way, excuses)
 }
 
-/// Unanswered and cut ones of a request at a time under the end above.
-fn at_the_end(sent: u64, never_looks: bool) -> (usize, usize) {
-    let audit = judged(&broken(sent, never_looks), Way::Direct, &ended());
+/// How many requests the audit counts as unanswered and as cut, of one sent at `sent` around [`excuses_of_one_kill`].
+fn unanswered_and_cut(sent: u64, never_looks: bool) -> (usize, usize) {
+    let audit = audit_of(&reset_request(sent, never_looks), Way::Direct, &excuses_of_one_kill());
     (audit.unanswered, audit.cut)
 }
 
 #[test]
-fn a_request_well_before_the_kill_has_to_be_answered() {
+fn request_well_before_the_kill_must_be_answered() {
     for never_looks in [false, true] {
         for sent in [9_990, 10_100, 10_650, 10_680] {
-            assert_eq!(at_the_end(sent, never_looks), (1, 0), "{sent}, {never_looks}");
+            assert_eq!(unanswered_and_cut(sent, never_looks), (1, 0), "{sent}, {never_looks}");
         }
-        assert_eq!(at_the_end(10_681, never_looks), (0, 1), "{never_looks}");
-        assert_eq!(at_the_end(10_740, never_looks), (0, 1), "{never_looks}");
+        assert_eq!(unanswered_and_cut(10_681, never_looks), (0, 1), "{never_looks}");
+        assert_eq!(unanswered_and_cut(10_740, never_looks), (0, 1), "{never_looks}");
     }
 }
 
-/// Whoever looks has seen the end by then. Whoever does not learns of it by its next request on the connection.
+/// A client that watches its connection has noticed its end by then. One that never does learns of it from its next
+/// request on the connection.
 #[test]
-fn a_request_after_the_kill_is_excused_on_a_connection_of_before() {
-    assert_eq!(at_the_end(10_800, false), (1, 0));
-    assert_eq!(at_the_end(10_800, true), (0, 1));
-    let opened_later = Request { opened: ms(11_200), ..broken(11_300, true) };
-    assert_eq!(judged(&opened_later, Way::Direct, &ended()).unanswered, 1);
+fn request_after_the_kill_is_excused_on_a_connection_from_before_it() {
+    assert_eq!(unanswered_and_cut(10_800, false), (1, 0));
+    assert_eq!(unanswered_and_cut(10_800, true), (0, 1));
+    let opened_later = Request { opened: ms(11_200), ..reset_request(11_300, true) };
+    assert_eq!(audit_of(&opened_later, Way::Direct, &excuses_of_one_kill()).unanswered, 1);
 }
 
-/// A kill that came late: the process may have begun to end.
+/// If the kill comes late, the process may already have begun to end by itself.
 #[test]
-fn the_process_may_end_three_quarters_of_a_second_after_sigterm() {
-    let mut excuses = ended();
+fn process_may_end_three_quarters_of_a_second_after_sigterm() {
+    let mut excuses = excuses_of_one_kill();
     (excuses.ends[0].killed, excuses.ends[0].gone) = (ms(10_900), ms(10_905));
-    assert_eq!(judged(&broken(10_730, true), Way::Direct, &excuses).unanswered, 1);
-    assert_eq!(judged(&broken(10_731, true), Way::Direct, &excuses).cut, 1);
+    assert_eq!(audit_of(&reset_request(10_730, true), Way::Direct, &excuses).unanswered, 1);
+    assert_eq!(audit_of(&reset_request(10_731, true), Way::Direct, &excuses).cut, 1);
 }
 
-/// A killed process that is not gone within milliseconds got no processor, and could not answer before the kill either.
+/// A killed process that is not gone within milliseconds got no processor time, so it couldn't answer just before the
+/// kill either.
 #[test]
-fn a_machine_that_starved_the_process_at_the_kill_excuses_as_much_before_it() {
-    let mut excuses = ended();
-    for (gone, owed_until) in [(10_720, 10_680), (10_800, 10_580)] {
+fn process_starved_at_the_kill_is_excused_for_as_long_before_it() {
+    let mut excuses = excuses_of_one_kill();
+    for (gone, must_answer_until) in [(10_720, 10_680), (10_800, 10_580)] {
         excuses.ends[0].gone = ms(gone);
-        assert_eq!(judged(&broken(owed_until, true), Way::Direct, &excuses).unanswered, 1, "{gone}");
-        assert_eq!(judged(&broken(owed_until + 1, true), Way::Direct, &excuses).cut, 1, "{gone}");
+        assert_eq!(
+            audit_of(&reset_request(must_answer_until, true), Way::Direct, &excuses).unanswered,
+            1,
+            "{gone}"
+        );
+        assert_eq!(
+            audit_of(&reset_request(must_answer_until + 1, true), Way::Direct, &excuses).cut,
+            1,
+            "{gone}"
+        );
     }
 }
 
-/// A proxy of bytes takes connections while no process is there; after the next answer nothing is excused.
+/// A TCP proxy accepts connections while no process is up. Once the next process answers, nothing is excused.
 #[test]
-fn by_a_proxy_requests_are_excused_until_the_next_process_answers() {
+fn requests_through_a_proxy_are_excused_until_the_next_process_answers() {
     for (sent, excused) in [(10_500, 0), (10_650, 1), (11_100, 1), (11_290, 1), (11_310, 0)] {
-        let request = Request { opened: ms(sent - 5), ..broken(sent, false) };
-        assert_eq!(judged(&request, Way::ByProxy, &ended()).cut, excused, "{sent}");
+        let request = Request { opened: ms(sent - 5), ..reset_request(sent, false) };
+        assert_eq!(audit_of(&request, Way::ByProxy, &excuses_of_one_kill()).cut, excused, "{sent}");
     }
 }
 
-/// More clients than places: only who does not look whether it has given its place up loses a request.
+/// With more clients than connections allowed, only a client that never checks whether its connection was closed may
+/// lose a request.
 #[test]
-fn a_crowd_excuses_only_who_does_not_look() {
+fn excess_clients_excuse_only_clients_that_never_check_their_connection() {
     let crowd = |clients| Crowd { clients, from: ms(8_000), until: Some(ms(9_500)) };
     let excuses = |clients| Excuses { crowds: vec![crowd(clients)], ..Excuses::default() };
     let crowded_out = |sent, never_looks, clients| {
-        judged(&broken(sent, never_looks), Way::Direct, &excuses(clients)).crowded_out
+        audit_of(&reset_request(sent, never_looks), Way::Direct, &excuses(clients)).crowded_out
     };
     assert_eq!(crowded_out(9_200, true, 300), 1);
     assert_eq!(crowded_out(9_200, false, 300), 0);
@@ -103,11 +115,11 @@
     assert_eq!(crowded_out(9_900, true, 300), 0);
 }
 
-/// Once an assigner has been told to end it has more places.
+/// An assigner that has been told to end allows more connections.
 #[test]
-fn a_crowd_that_fits_at_the_end_excuses_nothing_then() {
+fn crowd_within_the_limit_of_an_ending_assigner_excuses_nothing() {
     let crowd = Crowd { clients: 220, from: ms(8_000), until: None };
-    let excuses = Excuses { crowds: vec![crowd], ..ended() };
-    let crowded_out = |sent| judged(&broken(sent, true), Way::Direct, &excuses).crowded_out;
+    let excuses = Excuses { crowds: vec![crowd], ..excuses_of_one_kill() };
+    let crowded_out = |sent| audit_of(&reset_request(sent, true), Way::Direct, &excuses).crowded_out;
     assert_eq!((crowded_out(9_900), crowded_out(10_400)), (1, 0));
 }
