--- a/crates/whinhill-standins/src/bench.rs
+++ b/crates/whinhill-standins/src/bench.rs
@@ -1,4 +1,4 @@
-//! Measurements on loopback: a grown fleet, and one proxy against the server direct.
+//! Measurements on loopback: a day of a large fleet, and RPCs in a closed loop.
 
 use std::io;
 use std::path::Path;
@@ -16,7 +16,7 @@
 use crate::day::{Day, Proxies, Speaks};
 use crate::play::{play, Outcome, PlayError};
 
-/// A day of a grown fleet, in each variant of the protocol.
+/// Figures of a day of a large fleet with one variant of the protocol.
 #[derive(Debug, Serialize)]
 pub struct FleetFigures {
     pub variant: &'static str,
@@ -39,19 +39,19 @@
     pub first_grant_ms: Option<f64>,
 }
 
-/// Plays the same day with every proxy speaking the one variant, then the other.
+/// Runs the same day with all proxies incremental, then with all of them state of the world.
 pub fn fleet(day: &Day, program: &Path, out: &Path) -> Result<Vec<FleetFigures>, PlayError> {
     let variants = [("incremental", Speaks::Incremental), ("state of the world", Speaks::StateOfTheWorld)];
     let mut figures = Vec::new();
     for (variant, speaks) in variants {
         let day = Day { proxies: Proxies { speaks, ..day.proxies.clone() }, ..day.clone() };
         let outcome = play(&day, program, &out.join(variant.replace(' ', "-")))?;
-        figures.push(read(variant, &day, &outcome));
+        figures.push(figures_of(variant, &day, &outcome));
     }
     Ok(figures)
 }
 
-fn read(variant: &'static str, day: &Day, outcome: &Outcome) -> FleetFigures {
+fn figures_of(variant: &'static str, day: &Day, outcome: &Outcome) -> FleetFigures {
     let all = &outcome.status;
     let sum = |of: fn(&whinhill_assigner::Status) -> u64| all.iter().map(of).sum::<u64>() as f64;
     let most = |of: fn(&whinhill_assigner::Status) -> u64| all.iter().map(of).max().unwrap_or(0);
@@ -59,7 +59,7 @@
         variant,
         rpcs_per_s: outcome.rpcs as f64 / day.seconds,
         in_time_share: outcome.in_time_share,
-        rules_broken: outcome.rules.broken(),
+        rules_broken: outcome.rules.total(),
         handovers: outcome.handovers,
         batch_us_mean: sum(|s| s.batch_us_sum) / sum(|s| s.batches).max(1.0),
         batch_us_most: most(|s| s.batch_us_most),
@@ -77,7 +77,7 @@
     }
 }
 
-/// How fast calls go, in a closed loop.
+/// Throughput and latency of RPCs in a closed loop.
 #[derive(Debug, Serialize)]
 pub struct CallFigures {
     pub path: &'static str,
@@ -89,6 +89,7 @@
     pub failed: u64,
 }
 
+/// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
     #[error(transparent)]
@@ -99,7 +100,8 @@
     Call(#[from] whinhill_transport::CallError),
 }
 
-/// Calls `path` at `addr` over one connection for every eight callers.
+/// Sends RPCs for `path` to `addr` in a closed loop, over one connection for every eight callers. `name` goes into the
+/// figures.
 pub fn closed_loop(
     name: &'static str,
     addr: std::net::SocketAddr,
@@ -122,23 +124,29 @@
         for number in 0..callers {
             let (client, all, failed, stop) = (&clients[number % connections], &all, &failed, &stop);
             scope.spawn(move || {
-                let Ok(mut mine) = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3) else { return };
-                let (mut lost, mut turn) = (0, number as u64);
+                let Ok(mut latencies_us) = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3) else {
+                    return;
+                };
+                let (mut failures, mut rpc) = (0, number as u64);
                 while !stop.load(Ordering::Relaxed) {
-                    turn += callers as u64;
-                    let mut with = headers.to_vec();
-                    with.push(("whinhill-rpc", turn.to_string()));
-                    with.push((KEY_HEADER, format!("key-{}", turn % 997)));
+                    rpc += callers as u64;
+                    let mut all_headers = headers.to_vec();
+                    all_headers.push(("whinhill-rpc", rpc.to_string()));
+                    all_headers.push((KEY_HEADER, format!("key-{}", rpc % 997)));
                     let began = Instant::now();
-                    match client.unary(path, &with, Bytes::from_static(b"a request"), Duration::from_secs(5))
-                    {
-                        Ok(_) => mine.saturating_record(began.elapsed().as_micros() as u64),
-                        Err(_) => lost += 1,
+                    match client.unary(
+                        path,
+                        &all_headers,
+                        Bytes::from_static(b"a request"),
+                        Duration::from_secs(5),
+                    ) {
+                        Ok(_) => latencies_us.saturating_record(began.elapsed().as_micros() as u64),
+                        Err(_) => failures += 1,
                     }
                 }
-                // Two histograms of the same bounds always add up.
-                let _ = all.lock().unwrap_or_else(PoisonError::into_inner).add(&mine);
-                *failed.lock().unwrap_or_else(PoisonError::into_inner) += lost;
+                // Adding fails only for histograms with different bounds.
+                let _ = all.lock().unwrap_or_else(PoisonError::into_inner).add(&latencies_us);
+                *failed.lock().unwrap_or_else(PoisonError::into_inner) += failures;
             });
         }
         thread::sleep(Duration::from_secs_f64(seconds));
--- a/crates/whinhill-standins/src/clients.rs
+++ b/crates/whinhill-standins/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients at a set rate, open loop: RPCs come when they come, whatever became of those before. Each repeats by
-//! itself what its method allows, and nothing else.
+//! Clients that send RPCs at a given rate in an open loop: the next RPC never waits for an earlier one. Clients retry
+//! only as far as the method allows it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -17,45 +17,53 @@
 use whinhill_xds::mapping::{Effect, Service};
 
 use crate::day::Load;
-use crate::record::{Recorder, Seen};
+use crate::record::{Event, Recorder};
 
-/// The proxies that a plain front layer would spread clients over.
-pub type Front = Arc<Mutex<Vec<(Arc<str>, SocketAddr)>>>;
+/// Names and addresses of the proxies over which clients are spread.
+pub type ProxyAddrs = Arc<Mutex<Vec<(Arc<str>, SocketAddr)>>>;
 
+/// What clients count.
 #[derive(Default)]
-pub struct Totals {
+pub struct Counters {
+    /// RPCs, each counted once.
     pub rpcs: AtomicU64,
+    /// RPCs with a successful final answer.
     pub ok: AtomicU64,
+    /// Those of them that were answered within the soft deadline.
     pub in_time: AtomicU64,
+    /// Tries of all RPCs by clients.
     pub tries: AtomicU64,
+    /// RPCs that were not sent because no thread was free.
     pub not_sent: AtomicU64,
-    /// Final failures by reason.
+    /// RPCs whose final answer was a failure, by reason.
     pub failures: Mutex<BTreeMap<String, u64>>,
 }
 
-pub struct Clients {
+/// Sends the load of a day.
+pub struct LoadGenerator {
     pub service: Arc<Service>,
     pub load: Load,
-    pub front: Front,
-    pub record: Recorder,
+    pub proxies: ProxyAddrs,
+    pub recorder: Recorder,
     pub drivers: Drivers,
     pub workers: Workers,
     pub seed: u64,
-    /// Times the usual rate, in thousandths.
+    /// The current rate, in thousandths of the load's rate.
     pub rate: Arc<AtomicU64>,
     pub stop: Arc<AtomicBool>,
-    pub totals: Arc<Totals>,
-    pub micros: Arc<Mutex<Histogram<u64>>>,
+    pub counters: Arc<Counters>,
+    pub latencies_us: Arc<Mutex<Histogram<u64>>>,
 }
 
-struct Caller {
+/// Sends single RPCs; shared by the threads that do so.
+struct RpcSender {
     service: Arc<Service>,
-    front: Front,
-    record: Recorder,
+    proxies: ProxyAddrs,
+    recorder: Recorder,
     drivers: Drivers,
     clients: Mutex<HashMap<SocketAddr, Client>>,
-    totals: Arc<Totals>,
-    micros: Arc<Mutex<Histogram<u64>>>,
+    counters: Arc<Counters>,
+    latencies_us: Arc<Mutex<Histogram<u64>>>,
     retries: Vec<u32>,
 }
 
@@ -63,23 +71,23 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Clients {
-    /// Sends until it is stopped, then waits for what is under way.
+impl LoadGenerator {
+    /// Sends RPCs until it is stopped, then waits for those in flight.
     pub fn run(self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
-        let caller = Arc::new(Caller {
+        let sender = Arc::new(RpcSender {
             service: self.service.clone(),
-            front: self.front.clone(),
-            record: self.record.clone(),
+            proxies: self.proxies.clone(),
+            recorder: self.recorder.clone(),
             drivers: self.drivers.clone(),
             clients: Mutex::default(),
-            totals: self.totals.clone(),
-            micros: self.micros.clone(),
+            counters: self.counters.clone(),
+            latencies_us: self.latencies_us.clone(),
             retries: self.load.mix.iter().map(|mix| mix.retries).collect(),
         });
         let shares: f64 = self.load.mix.iter().map(|mix| mix.share).sum();
         let (mut due, mut number) = (Instant::now(), 0u64);
-        let open = Arc::new(AtomicU64::new(0));
+        let in_flight = Arc::new(AtomicU64::new(0));
         while !self.stop.load(Ordering::Relaxed) {
             let rps = self.load.rps * self.rate.load(Ordering::Relaxed) as f64 / 1000.0;
             if rps <= 0.0 {
@@ -87,43 +95,44 @@
                 due = Instant::now();
                 continue;
             }
-            // Gaps of a Poisson stream; what is late is sent at once, and counts from when it was due.
+            // Arrivals form a Poisson process. An RPC that is late is sent at once; its latency counts from its due time.
             let gap = -(1.0 - rng.random::<f64>()).ln() / rps;
             due += Duration::from_secs_f64(gap.min(1.0));
             while let Some(left) = due.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
                 thread::park_timeout(left);
             }
-            let mut left = rng.random::<f64>() * shares;
+            let mut remaining_share = rng.random::<f64>() * shares;
             let method = self.load.mix.iter().position(|mix| {
-                left -= mix.share;
-                left < 0.0
+                remaining_share -= mix.share;
+                remaining_share < 0.0
             });
             let method = method.unwrap_or(0);
-            // Few keys are asked for often: the square of an even draw leans to the low ones.
+            // Some keys are used more often than others: the square of a uniform draw favours low numbers.
             let key = (rng.random::<f64>().powi(2) * self.load.keys as f64) as u64;
             number += 1;
-            let (rpc, came, pick) = (number, due, rng.random::<u64>());
-            self.totals.rpcs.fetch_add(1, Ordering::Relaxed);
-            open.fetch_add(1, Ordering::Relaxed);
-            let (job, count) = (caller.clone(), open.clone());
+            let (rpc, due, proxy_choice) = (number, due, rng.random::<u64>());
+            self.counters.rpcs.fetch_add(1, Ordering::Relaxed);
+            in_flight.fetch_add(1, Ordering::Relaxed);
+            let (sender, in_flight_rpcs) = (sender.clone(), in_flight.clone());
             let sent = self.workers.run(move || {
-                job.call(rpc, method, key, came, pick);
-                count.fetch_sub(1, Ordering::Relaxed);
+                sender.call(rpc, method, key, due, proxy_choice);
+                in_flight_rpcs.fetch_sub(1, Ordering::Relaxed);
             });
             if sent.is_err() {
-                open.fetch_sub(1, Ordering::Relaxed);
-                self.totals.not_sent.fetch_add(1, Ordering::Relaxed);
+                in_flight.fetch_sub(1, Ordering::Relaxed);
+                self.counters.not_sent.fetch_add(1, Ordering::Relaxed);
             }
         }
-        let longest = self.service.methods.iter().map(|m| m.deadline).max().unwrap_or_default();
-        let until = Instant::now() + longest * 2;
-        while open.load(Ordering::Relaxed) > 0 && Instant::now() < until {
+        let max_deadline = self.service.methods.iter().map(|m| m.deadline).max().unwrap_or_default();
+        let until = Instant::now() + max_deadline * 2;
+        while in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < until {
             thread::park_timeout(Duration::from_millis(10));
         }
     }
 }
 
-impl Caller {
+impl RpcSender {
+    /// An open connection to a proxy.
     fn client(&self, addr: SocketAddr) -> Result<Client, CallError> {
         if let Some(client) = lock(&self.clients).get(&addr).filter(|client| client.alive()) {
             return Ok(client.clone());
@@ -134,69 +143,70 @@
         Ok(client)
     }
 
-    fn call(&self, rpc: u64, method: usize, key: u64, came: Instant, pick: u64) {
-        let about = &self.service.methods[method];
+    /// Sends one RPC with its retries, and records its final answer.
+    fn call(&self, rpc: u64, method: usize, key: u64, due: Instant, proxy_choice: u64) {
+        let method_spec = &self.service.methods[method];
         let key = format!("key-{key}");
         let slice = self.service.slice_of(key.as_bytes());
-        let until = came + about.deadline;
+        let until = due + method_spec.deadline;
         let mut tries = 0;
         let (proxy, result) = loop {
             let chosen = {
-                let front = lock(&self.front);
-                match front.len() {
+                let proxies = lock(&self.proxies);
+                match proxies.len() {
                     0 => return,
-                    count => front[(pick.wrapping_add(tries) % count as u64) as usize].clone(),
+                    count => proxies[(proxy_choice.wrapping_add(tries) % count as u64) as usize].clone(),
                 }
             };
             let left = until.saturating_duration_since(Instant::now());
-            self.totals.tries.fetch_add(1, Ordering::Relaxed);
+            self.counters.tries.fetch_add(1, Ordering::Relaxed);
             let headers = [(KEY_HEADER, key.clone()), ("whinhill-rpc", rpc.to_string())];
             let send = || {
                 let client = self.client(chosen.1)?;
-                client.unary(&about.path, &headers, Bytes::from_static(b"a request"), left)
+                client.unary(&method_spec.path, &headers, Bytes::from_static(b"a request"), left)
             };
-            // A connection that was just closed for idleness is no failure of the service: the client dials again.
+            // A connection that was just closed for being idle is no failure of the service: the client reconnects.
             let result = match send() {
                 Err(CallError::NeverRan(NeverRan::AboveGoAway | NeverRan::NeverWritten)) => send(),
                 other => other,
             };
             tries += 1;
-            let again = match &result {
+            let may_retry = match &result {
                 Ok(_) => false,
-                Err(error) => about.effect == Effect::Idempotent || pushed_back(error),
+                Err(error) => method_spec.effect == Effect::Idempotent || cannot_have_run(error),
             };
             let left = until.saturating_duration_since(Instant::now());
-            if !again || tries > u64::from(self.retries[method]) || left < Duration::from_millis(60) {
+            if !may_retry || tries > u64::from(self.retries[method]) || left < Duration::from_millis(60) {
                 break (chosen.0, result);
             }
             thread::sleep(Duration::from_millis(50).min(left));
         };
-        let took = came.elapsed();
+        let took = due.elapsed();
         let ok = result.is_ok();
-        let in_time = ok && took <= about.soft_deadline;
+        let in_time = ok && took <= method_spec.soft_deadline;
         let no_line =
             matches!(&result, Err(CallError::Status { message, .. }) if message.contains("no-line"));
-        self.totals.ok.fetch_add(u64::from(ok), Ordering::Relaxed);
-        self.totals.in_time.fetch_add(u64::from(in_time), Ordering::Relaxed);
+        self.counters.ok.fetch_add(u64::from(ok), Ordering::Relaxed);
+        self.counters.in_time.fetch_add(u64::from(in_time), Ordering::Relaxed);
         if let Err(error) = &result {
-            let mut failures = lock(&self.totals.failures);
+            let mut failures = lock(&self.counters.failures);
             let reason = reason(error);
-            if failures.len() < REASONS || failures.contains_key(&reason) {
+            if failures.len() < MAX_REASONS || failures.contains_key(&reason) {
                 *failures.entry(reason).or_default() += 1;
             }
         }
         if ok {
-            // A value over the histogram's range counts as its highest.
-            lock(&self.micros).saturating_record(took.as_micros() as u64);
+            // Latencies above the histogram's range count as its maximum.
+            lock(&self.latencies_us).saturating_record(took.as_micros() as u64);
         }
-        self.record.note(Seen::Answered { rpc, proxy, slice, ok, in_time, no_line });
+        self.recorder.add(Event::RpcAnswered { rpc, proxy, slice, ok, in_time, no_line });
     }
 }
 
-/// Reasons of failures that are told apart at most.
-const REASONS: usize = 64;
+/// Most different reasons of failures that are counted.
+const MAX_REASONS: usize = 64;
 
-/// A failure in a few words, without what differs from RPC to RPC.
+/// A short description of a failure, without details that differ from RPC to RPC.
 fn reason(error: &CallError) -> String {
     match error {
         CallError::Status { code, message } => {
@@ -208,8 +218,8 @@
     }
 }
 
-/// Whether nothing can have run: pushed back by the proxy itself, or proof that it never began.
-fn pushed_back(error: &CallError) -> bool {
+/// Whether the RPC can't have been executed: the proxy pushed it back, or the error proves that it never ran.
+fn cannot_have_run(error: &CallError) -> bool {
     match error {
         CallError::Status { code: Code::Unavailable, message } => message.contains("pushed back"),
         other => other.never_ran().is_some(),
--- a/crates/whinhill-standins/src/day.rs
+++ b/crates/whinhill-standins/src/day.rs
@@ -1,15 +1,19 @@
-//! A day's script: fleet, load, seed, and faults by time. JSON5, checked whole.
+//! The script of a day: fleet, load, seed and scheduled faults. Read from JSON5 and checked as a whole.
+//!
+//! The attribute `schemars(rename)` keeps the name of a type in the published schema where its Rust name differs.
 
-use crate::hops::{Hop, LinkFault, Pick};
+use crate::hops::{Hop, LinkFault, Selection};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use whinhill_assigner::{ChannelConfig, CustodySettings, Fault, RulesConfig, ServiceConfig};
 
+/// A scripted day.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
+    /// Seed of all random draws of the day.
     pub seed: u64,
-    /// How long load is sent.
+    /// How long load is sent, in seconds.
     pub seconds: f64,
     pub zones: Vec<String>,
     pub service: ServiceConfig,
@@ -19,17 +23,17 @@
     pub report_period_ms: u64,
     #[serde(default)]
     pub probes: bool,
-    /// How assigners hear of servers.
+    /// How assigners learn of servers.
     #[serde(default)]
-    pub roster: RosterBy,
+    pub roster: RosterSource,
     pub servers: Servers,
     pub proxies: Proxies,
     /// How many assigners run.
     pub assigners: usize,
     #[serde(default)]
     pub run: Run,
-    /// Whether links stand between proxies and assigners, so that they can be cut. Without them a large fleet is
-    /// measured itself, not its links; the audit of drains and lines then has nothing to go by.
+    /// Whether links stand between proxies and assigners, so that they can be cut. Measurements of a large fleet do
+    /// without them, so that the links are not measured too; drains and missing lines can't be audited then.
     #[serde(default = "yes")]
     pub links: bool,
     /// One-way delay of every link between proxies and assigners, in milliseconds.
@@ -37,8 +41,8 @@
     pub link_delay_ms: u64,
     pub load: Load,
     #[serde(default)]
-    pub faults: Vec<Scheduled>,
-    /// Broken components put in on purpose: the audit must find them.
+    pub faults: Vec<ScheduledFault>,
+    /// Deliberately broken components, which the audit must detect.
     #[serde(default)]
     pub sabotage: Vec<Sabotage>,
 }
@@ -47,8 +51,8 @@
     true
 }
 
-/// What runs as processes of their own, and what as threads of the day's. Servers, clients, store and roster always
-/// are threads: what they see is recorded on one clock.
+/// Which parts run as processes of their own and which as threads of the day's process. Servers, clients, store and
+/// roster always run as threads, so that their events are recorded on one clock.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Run {
@@ -62,6 +66,7 @@
     }
 }
 
+/// How the parts of one kind run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunAs {
@@ -69,20 +74,23 @@
     Threads,
 }
 
+/// A deliberate defect of a component.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sabotage {
-    /// Every proxy goes on by tables whose writes were stopped.
+    /// Proxies go on sending writes after their table has stopped them.
     ProxyIgnoresStops,
-    /// Servers go on with some writes for seconds after they were given up.
+    /// Servers go on with some writes for seconds after these were cancelled.
     ServerHoldsOn,
-    /// Assigners take their own marks for answered at once, and let no write settle.
+    /// Assigners treat their acknowledgement requests as answered at once, and don't wait for writes to settle.
     AssignerSkipsWait,
 }
 
+/// Where assigners get the list of servers from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum RosterBy {
+#[schemars(rename = "RosterBy")]
+pub enum RosterSource {
     /// A watched JSON5 file.
     #[default]
     File,
@@ -90,25 +98,30 @@
     Eds,
 }
 
+/// The servers of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
     pub count: usize,
+    /// Cores of each server.
     pub cores: usize,
-    /// Core-seconds of work that a core does in a second: the slowest and the fastest server's.
+    /// Core-seconds of work that a core does in a second: of the slowest and of the fastest server.
     pub speed: [f64; 2],
+    /// Most RPCs that a server queues.
     pub queue: usize,
 }
 
+/// The variant of the protocol that proxies use towards assigners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Speaks {
     Incremental,
     StateOfTheWorld,
-    /// Every other proxy.
+    /// Every other proxy uses the incremental variant.
     Both,
 }
 
+/// The proxies of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Proxies {
@@ -116,103 +129,92 @@
     pub speaks: Speaks,
 }
 
+/// The load that clients send.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second, open loop.
+    /// RPCs a second in an open loop, retries not counted.
     pub rps: f64,
+    /// Number of different keys.
     pub keys: u64,
-    /// By method, in the order of the service's: share of the RPCs, mean work in core-milliseconds, retries by clients.
+    /// The load of each method, in the order of the service's methods.
     pub mix: Vec<Mix>,
 }
 
+/// The load of one method.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
+    /// Share of the RPCs, relative to the shares of the other methods.
     pub share: f64,
+    /// Mean work of an RPC, in core-milliseconds.
     pub work_ms: f64,
+    /// Most retries of an RPC by its client.
     #[serde(default)]
     pub retries: u32,
 }
 
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Scheduled {
+#[schemars(rename = "Scheduled")]
+pub struct ScheduledFault {
+    /// When it begins, in seconds from the day's start.
     pub at_s: f64,
-    /// How long it lasts, where it lasts.
+    /// How long it lasts, in seconds, if it is one that lasts.
     #[serde(default)]
     pub for_s: f64,
-    pub what: Trouble,
+    pub what: FaultKind,
 }
 
+/// A fault or an operation that a script injects. `part` is a fraction of the parts concerned, drawn at random.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub enum Trouble {
-    /// Servers are drained, stopped and replaced, so many at a time, until that part is new.
-    Release {
-        part: f64,
-        at_a_time: usize,
-    },
-    /// The process is killed outright, and started again at the end.
-    KillAssigner {
-        which: usize,
-    },
-    /// It stands still.
-    StallAssigner {
-        which: usize,
-    },
-    KillProxies {
-        part: f64,
-    },
-    /// Links between some of one part and some of another carry badly.
+#[schemars(rename = "Trouble")]
+pub enum FaultKind {
+    /// Servers are drained, stopped and replaced, `at_a_time` of them together, until that fraction is replaced.
+    Release { part: f64, at_a_time: usize },
+    /// The assigner's process is killed, and started again at the end.
+    KillAssigner { which: usize },
+    /// The assigner's process is stopped by a signal, and resumed at the end.
+    StallAssigner { which: usize },
+    /// Proxies are killed, and started again at the end.
+    KillProxies { part: f64 },
+    /// The links between some parts of one kind and some of another have a fault.
     Link {
         between: Hop,
-        /// Of those that open connections, and of those that take them.
+        /// Which of the parts that open the connections.
         #[serde(default)]
-        near: Pick,
+        near: Selection,
+        /// Which of the parts that accept them.
         #[serde(default)]
-        far: Pick,
+        far: Selection,
         fault: LinkFault,
     },
-    /// The store itself refuses everybody.
+    /// The store breaks its connections and refuses new ones.
     StoreDown {},
-    /// That part of the proxies rejects its next tables, once each.
-    RejectTables {
-        part: f64,
-    },
-    SlowServers {
-        part: f64,
-        times: f64,
-    },
-    SilentServers {
-        part: f64,
-    },
-    /// Fails at once; one method only, if named.
-    FailingServers {
-        part: f64,
-        share: f64,
-        method: Option<usize>,
-    },
-    AnswersLost {
-        part: f64,
-        share: f64,
-    },
-    Burst {
-        times: f64,
-    },
-    /// The roster's file is left half written; one that is served by EDS ends its streams and refuses new ones.
+    /// That fraction of the proxies rejects its next tables, once each.
+    RejectTables { part: f64 },
+    /// Servers work slower by the factor `times`.
+    SlowServers { part: f64, times: f64 },
+    /// Servers accept RPCs and don't answer.
+    SilentServers { part: f64 },
+    /// That share of a server's RPCs fails at once; only those of one method, if it is given.
+    FailingServers { part: f64, share: f64, method: Option<usize> },
+    /// That share of a server's answers is lost after the work is done.
+    AnswersLost { part: f64, share: f64 },
+    /// Clients send at `times` the day's rate.
+    Burst { times: f64 },
+    /// The roster's file is left half written. A roster served by EDS ends its streams and refuses new ones.
     RosterDown {},
-    /// Operators have every assigner lead its owners back to where they were so long ago.
-    RollBack {
-        seconds: f64,
-    },
-    /// The roster leaves that part of the servers out, though they serve.
-    RosterDrops {
-        part: f64,
-    },
+    /// Operators request from every assigner a rollback of its owners to their state that many seconds earlier.
+    RollBack { seconds: f64 },
+    /// The roster drops that fraction of the servers, though they still serve.
+    RosterDrops { part: f64 },
 }
 
 impl Day {
+    /// Checks the script as a whole. Returns all errors that it finds.
     pub fn check(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut must = |holds: bool, path: String, what: &str| {
@@ -253,7 +255,7 @@
             must(fault.at_s <= self.seconds, path.clone(), "begins after the day's end");
             must(self.links || !self.needs_links(fault), path.clone(), "needs links");
             let assigner = match &fault.what {
-                Trouble::KillAssigner { which } | Trouble::StallAssigner { which } => Some(*which),
+                FaultKind::KillAssigner { which } | FaultKind::StallAssigner { which } => Some(*which),
                 _ => None,
             };
             must(
@@ -267,23 +269,23 @@
                 "only a process can be killed or stand still: run.assigners must be \"processes\"",
             );
             must(
-                !matches!(fault.what, Trouble::RejectTables { .. }) || self.run.proxies == RunAs::Threads,
+                !matches!(fault.what, FaultKind::RejectTables { .. }) || self.run.proxies == RunAs::Threads,
                 path.clone(),
                 "run.proxies must be \"threads\"",
             );
-            if let Trouble::Link { between, near, far, .. } = &fault.what {
-                let (nears, fars) = self.ends(*between);
+            if let FaultKind::Link { between, near, far, .. } = &fault.what {
+                let (nears, fars) = self.end_counts(*between);
                 for (end, pick, of) in [("near", near, nears), ("far", far, fars)] {
                     let fits = match pick {
-                        Pick::All => true,
-                        Pick::Part(part) => *part > 0.0 && *part <= 1.0,
-                        Pick::One(which) => *which < of,
+                        Selection::All => true,
+                        Selection::Part(part) => *part > 0.0 && *part <= 1.0,
+                        Selection::One(which) => *which < of,
                     };
                     let what = format!("a part over 0 up to 1, or one below {of}, is expected");
                     must(fits, format!("{path}.{end}"), &what);
                 }
                 must(
-                    *between != Hop::AssignersRoster || self.roster == RosterBy::Eds,
+                    *between != Hop::AssignersRoster || self.roster == RosterSource::Eds,
                     path.clone(),
                     "a roster by file has no link",
                 );
@@ -297,8 +299,8 @@
         faults
     }
 
-    /// How many parts are at the near and the far end of a hop.
-    pub fn ends(&self, hop: Hop) -> (usize, usize) {
+    /// The number of parts at the near and at the far end of a hop.
+    pub fn end_counts(&self, hop: Hop) -> (usize, usize) {
         match hop {
             Hop::ClientsProxies => (1, self.proxies.count),
             Hop::ProxiesServers => (self.proxies.count, self.servers.count),
@@ -307,18 +309,17 @@
         }
     }
 
-    /// Whether any fault is one of links between two such parts: relays stand only where they are needed.
+    /// Whether any fault concerns the links of this hop. Relays are started only where they are needed.
     pub fn has_links(&self, hop: Hop) -> bool {
-        let named =
-            |fault: &Scheduled| matches!(&fault.what, Trouble::Link { between, .. } if *between == hop);
-        self.faults.iter().any(named)
+        let concerns_hop = |fault: &ScheduledFault| matches!(&fault.what, FaultKind::Link { between, .. } if *between == hop);
+        self.faults.iter().any(concerns_hop)
     }
 
-    fn needs_links(&self, fault: &Scheduled) -> bool {
+    fn needs_links(&self, fault: &ScheduledFault) -> bool {
         match &fault.what {
-            Trouble::Link { between, .. } => *between == Hop::ProxiesAssigners,
-            // It listens elsewhere when it returns; only links can follow it.
-            Trouble::KillAssigner { .. } => fault.at_s + fault.for_s < self.seconds,
+            FaultKind::Link { between, .. } => *between == Hop::ProxiesAssigners,
+            // It listens at another address when it returns; proxies reach it there only by links.
+            FaultKind::KillAssigner { .. } => fault.at_s + fault.for_s < self.seconds,
             _ => false,
         }
     }
--- a/crates/whinhill-standins/src/from_bench.rs
+++ b/crates/whinhill-standins/src/from_bench.rs
@@ -1,24 +1,25 @@
-//! Turns a day of the operators' bench into a script: the kinds of trouble, their sizes and times. The fleet is
-//! scaled to what one machine plays in real time.
+//! Converts a day of the operators' bench into a script with the same faults, of the same sizes and at the same times.
+//! The fleet is scaled down to what one machine can run in real time.
 
 use serde::Deserialize;
 use whinhill_assigner::{
     ChannelConfig, CustodySettings, MethodConfig, MethodEffect, RulesConfig, ServiceConfig,
 };
 
-use crate::day::{Day, Load, Mix, Proxies, RosterBy, Run, Scheduled, Servers, Speaks, Trouble};
-use crate::hops::{Hop, LinkFault, Pick};
+use crate::day::{Day, FaultKind, Load, Mix, Proxies, RosterSource, Run, ScheduledFault, Servers, Speaks};
+use crate::hops::{Hop, LinkFault, Selection};
 use crate::link::Direction;
 
+/// Why a day of the bench could not be converted.
 #[derive(Debug, thiserror::Error)]
 pub enum FromBenchError {
     #[error("not a day of the bench: {0}")]
     Read(#[from] serde_json::Error),
     #[error("a day of another kind of system: {0}")]
-    Family(String),
+    OtherFamily(String),
 }
 
-/// What is read of such a day; times are in microseconds.
+/// The fields that are read of a bench's day; times are in microseconds.
 #[derive(Deserialize)]
 struct BenchDay {
     family: String,
@@ -31,36 +32,44 @@
     classes: Vec<Class>,
     servers: Vec<serde_json::Value>,
     tiers: Vec<Tier>,
-    troubles: Vec<BenchTrouble>,
-    fam: Fam,
+    troubles: Vec<BenchFault>,
+    fam: FamilySettings,
     traffic: Traffic,
     clients: BenchClients,
 }
 
+/// A method of the service.
 #[derive(Deserialize)]
 struct Class {
     name: String,
     share: f64,
     work: f64,
+    /// The soft deadline.
     aim: f64,
     deadline: f64,
+    /// The criticality.
     worth: f64,
     effect: String,
     write: bool,
 }
 
+/// The warm-up that is stated for servers. The first tier's is used for all.
 #[derive(Deserialize)]
 struct Tier {
+    /// The share of the full capacity at the start.
     stated_cold_from: f64,
+    /// How long the warm-up takes.
     stated_cold: f64,
 }
 
+/// A fault of a bench's day.
 #[derive(Deserialize)]
-struct BenchTrouble {
+struct BenchFault {
     kind: String,
     at: f64,
     len: f64,
     size: f64,
+    /// The parts that it affects.
     on: Vec<usize>,
     #[serde(default)]
     steps: Vec<serde_json::Value>,
@@ -68,15 +77,21 @@
     how: Option<String>,
 }
 
+/// The settings of the family of systems, `control`, whose days are converted.
 #[derive(Deserialize)]
-struct Fam {
+struct FamilySettings {
+    /// Assigners; the sum of the entries is their number.
     controllers: Vec<usize>,
+    /// The write lease.
     lease: f64,
     settle: f64,
     hold: f64,
+    /// How long a proxy may be without a line.
     bare: f64,
+    /// The period of load reports.
     period: f64,
     slices: usize,
+    /// Becomes [`ServiceConfig::tries`].
     usual_how: u8,
 }
 
@@ -90,25 +105,28 @@
     retries: u32,
 }
 
-const SERVERS: usize = 12;
-const PROXIES: usize = 6;
-const CORES: usize = 2;
+/// Most servers of a converted day.
+const MAX_SERVERS: usize = 12;
+/// Proxies of a converted day.
+const PROXY_COUNT: usize = 6;
+/// Cores of each server.
+const SERVER_CORES: usize = 2;
 
-/// Reads a day as the bench prints it, and says which of its troubles have no counterpart here.
+/// Converts a day as the bench prints it. Returns the script and the kinds of faults that have no counterpart here.
 pub fn from_bench(text: &str) -> Result<(Day, Vec<String>), FromBenchError> {
     let bench: BenchDay = serde_json::from_str(text)?;
     if bench.family != "control" {
-        return Err(FromBenchError::Family(bench.family));
+        return Err(FromBenchError::OtherFamily(bench.family));
     }
     let ms = |micros: f64| (micros / 1e3).round().max(1.0) as u64;
     let assigners = bench.fam.controllers.iter().sum::<usize>().clamp(1, 2);
-    let servers = bench.servers.len().clamp(2, SERVERS);
+    let servers = bench.servers.len().clamp(2, MAX_SERVERS);
     let slices = (bench.fam.slices * servers / bench.servers.len().max(1)).max(8);
-    // Work is cut to a tenth, so that as many RPCs come at the same load on a few cores.
+    // Work is reduced to a tenth, so that a few cores serve as many RPCs at the same load.
     let shares: f64 = bench.classes.iter().map(|class| class.share).sum();
     let work = |class: &Class| (class.work / 1e4).max(1.0);
-    let mean: f64 = bench.classes.iter().map(|class| class.share / shares * work(class)).sum();
-    let rps = (bench.traffic.load * 0.6 * (servers * CORES) as f64 / (mean / 1e3)).min(600.0);
+    let mean_work: f64 = bench.classes.iter().map(|class| class.share / shares * work(class)).sum();
+    let rps = (bench.traffic.load * 0.6 * (servers * SERVER_CORES) as f64 / (mean_work / 1e3)).min(600.0);
     let method = |class: &Class| MethodConfig {
         name: class.name.clone(),
         path: format!("/bench.Day/{}", class.name),
@@ -122,49 +140,49 @@
         soft_deadline_ms: ms(class.aim),
         deadline_ms: ms(class.deadline),
     };
-    let mut strange = Vec::new();
+    let mut unsupported = Vec::new();
     let mut faults = Vec::new();
-    for trouble in &bench.troubles {
-        let struck = trouble.on.len().max(1) as f64;
-        let part = |of: usize| (struck / of.max(1) as f64).clamp(0.0, 1.0);
+    for fault in &bench.troubles {
+        let affected = fault.on.len().max(1) as f64;
+        let part = |of: usize| (affected / of.max(1) as f64).clamp(0.0, 1.0);
         let on_servers = part(bench.servers.len());
-        let what = match (trouble.kind.as_str(), trouble.how.as_deref()) {
-            ("deploy", _) => Some(Trouble::Release {
-                part: (trouble.size * trouble.steps.len().max(1) as f64).clamp(0.1, 1.0),
-                at_a_time: ((trouble.size * servers as f64).round() as usize).max(1),
+        let what = match (fault.kind.as_str(), fault.how.as_deref()) {
+            ("deploy", _) => Some(FaultKind::Release {
+                part: (fault.size * fault.steps.len().max(1) as f64).clamp(0.1, 1.0),
+                at_a_time: ((fault.size * servers as f64).round() as usize).max(1),
             }),
-            ("balancer_crash", _) if trouble.on.len() <= 2 => Some(Trouble::KillAssigner { which: 0 }),
-            ("balancer_crash" | "counter_down", _) => Some(Trouble::KillProxies { part: 0.3 }),
-            ("balancer_stall", _) => Some(Trouble::StallAssigner { which: 0 }),
-            ("cut" | "zone_cut" | "reconnect", _) => Some(Trouble::Link {
+            ("balancer_crash", _) if fault.on.len() <= 2 => Some(FaultKind::KillAssigner { which: 0 }),
+            ("balancer_crash" | "counter_down", _) => Some(FaultKind::KillProxies { part: 0.3 }),
+            ("balancer_stall", _) => Some(FaultKind::StallAssigner { which: 0 }),
+            ("cut" | "zone_cut" | "reconnect", _) => Some(FaultKind::Link {
                 between: Hop::ProxiesAssigners,
-                near: Pick::Part(0.4),
-                far: Pick::All,
+                near: Selection::Part(0.4),
+                far: Selection::All,
                 fault: LinkFault::Cut { way: Direction::Both },
             }),
             ("slow" | "ageing" | "neighbour" | "false_reports", _) => {
-                Some(Trouble::SlowServers { part: on_servers, times: trouble.size.clamp(2.0, 10.0) })
+                Some(FaultKind::SlowServers { part: on_servers, times: fault.size.clamp(2.0, 10.0) })
             }
-            ("vanish" | "hang", _) => Some(Trouble::SilentServers { part: on_servers }),
+            ("vanish" | "hang", _) => Some(FaultKind::SilentServers { part: on_servers }),
             ("fast_errors", _) => {
-                let share = trouble.size.clamp(0.1, 1.0);
-                Some(Trouble::FailingServers { part: on_servers, share, method: None })
+                let share = fault.size.clamp(0.1, 1.0);
+                Some(FaultKind::FailingServers { part: on_servers, share, method: None })
             }
             ("class_fail", _) => {
-                let share = trouble.size.clamp(0.1, 1.0);
-                Some(Trouble::FailingServers { part: on_servers, share, method: Some(0) })
+                let share = fault.size.clamp(0.1, 1.0);
+                Some(FaultKind::FailingServers { part: on_servers, share, method: Some(0) })
             }
             ("answer_lost", _) => {
-                Some(Trouble::AnswersLost { part: on_servers, share: trouble.size.clamp(0.1, 1.0) })
+                Some(FaultKind::AnswersLost { part: on_servers, share: fault.size.clamp(0.1, 1.0) })
             }
-            ("burst", _) => Some(Trouble::Burst { times: trouble.size.clamp(1.1, 3.0) }),
-            ("discovery_down", _) => Some(Trouble::RosterDown {}),
-            ("wrong_list", Some("shrink")) => Some(Trouble::RosterDrops { part: on_servers }),
+            ("burst", _) => Some(FaultKind::Burst { times: fault.size.clamp(1.1, 3.0) }),
+            ("discovery_down", _) => Some(FaultKind::RosterDown {}),
+            ("wrong_list", Some("shrink")) => Some(FaultKind::RosterDrops { part: on_servers }),
             _ => None,
         };
         match what {
-            Some(what) => faults.push(Scheduled { at_s: trouble.at / 1e6, for_s: trouble.len / 1e6, what }),
-            None => strange.push(trouble.kind.clone()),
+            Some(what) => faults.push(ScheduledFault { at_s: fault.at / 1e6, for_s: fault.len / 1e6, what }),
+            None => unsupported.push(fault.kind.clone()),
         }
     }
     let tier = bench.tiers.first();
@@ -202,9 +220,9 @@
         custody: CustodySettings { ttl_ms: 2000, margin_ms: 400, step: 128 },
         report_period_ms: ms(bench.fam.period),
         probes: false,
-        roster: RosterBy::File,
-        servers: Servers { count: servers, cores: CORES, speed: [0.8, 1.2], queue: 40 },
-        proxies: Proxies { count: PROXIES, speaks: Speaks::Both },
+        roster: RosterSource::File,
+        servers: Servers { count: servers, cores: SERVER_CORES, speed: [0.8, 1.2], queue: 40 },
+        proxies: Proxies { count: PROXY_COUNT, speaks: Speaks::Both },
         assigners,
         links: true,
         link_delay_ms: 10,
@@ -220,14 +238,14 @@
         faults,
         sabotage: Vec::new(),
     };
-    Ok((day, strange))
+    Ok((day, unsupported))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// As much of such a day as is read.
+    /// The fields of a bench's day that are read.
     const DAY: &str = r#"{
         "family": "control", "noise": 5, "length": 20000000, "zones": ["a", "b"], "drain_grace": 2000000,
         "fall_multiple": 4, "fall_for": 2000000, "traffic": {"load": 0.9}, "clients": {"retries": 2},
@@ -245,15 +263,15 @@
     }"#;
 
     #[test]
-    fn troubles_keep_their_kind_size_and_time_and_strange_ones_are_named() {
-        let (day, strange) = from_bench(DAY).unwrap();
-        assert_eq!((day.check().len(), strange), (0, vec!["moonrise".to_string()]));
+    fn faults_keep_kind_size_and_time_and_unsupported_kinds_are_listed() {
+        let (day, unsupported) = from_bench(DAY).unwrap();
+        assert_eq!((day.check().len(), unsupported), (0, vec!["moonrise".to_string()]));
         assert_eq!((day.assigners, day.servers.count, day.service.slices), (2, 12, 60));
         let at: Vec<f64> = day.faults.iter().map(|fault| fault.at_s).collect();
         assert_eq!(at, [2.0, 4.0, 5.0]);
-        assert!(matches!(day.faults[0].what, Trouble::Release { part, .. } if (part - 0.3).abs() < 1e-9));
+        assert!(matches!(day.faults[0].what, FaultKind::Release { part, .. } if (part - 0.3).abs() < 1e-9));
         assert!(
-            matches!(day.faults[2].what, Trouble::SlowServers { part, times: 4.0 } if (part - 0.1).abs() < 1e-9)
+            matches!(day.faults[2].what, FaultKind::SlowServers { part, times: 4.0 } if (part - 0.1).abs() < 1e-9)
         );
         assert!(from_bench(r#"{"family": "other"}"#).is_err());
     }
--- a/crates/whinhill-standins/src/hops.rs
+++ b/crates/whinhill-standins/src/hops.rs
@@ -1,5 +1,5 @@
-//! The links of a day: which parts they stand between, what they do to what they carry, and the ones between
-//! proxies and servers, which come and go with the servers.
+//! The links of a day: which parts they connect, which faults they can have, and the links between proxies and
+//! servers, which are created when a proxy first connects to a server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use crate::link::{Direction, Link};
 
-/// Two parts that speak to each other; the nearer one opens the connection.
+/// Two kinds of parts that communicate; the first one opens the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Hop {
@@ -21,42 +21,44 @@
     ProxiesServers,
     ProxiesAssigners,
     AssignersStore,
-    /// Where the roster is served by EDS.
+    /// Exists only where the roster is served by EDS.
     AssignersRoster,
 }
 
-/// Some of the parts at one end of a hop.
+/// Which of the parts at one end of a hop are meant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum Pick {
+#[schemars(rename = "Pick")]
+pub enum Selection {
     #[default]
     All,
-    /// So large a part, drawn; one at least.
+    /// That fraction of them, drawn at random; at least one.
     Part(f64),
+    /// The one with this number.
     One(usize),
 }
 
-/// What a link does to what it carries.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum LinkFault {
-    /// It carries nothing, one way or both; connections stand.
+    /// It forwards nothing in one or both directions; connections stay open.
     Cut {
         #[serde(default)]
         way: Direction,
     },
-    /// It carries so much later, each way.
+    /// It delays all bytes by so many milliseconds, in each direction.
     Delay { ms: u64 },
-    /// What comes back is read at so many bytes a second.
+    /// It forwards so many bytes a second from the far end to the near one.
     Slow { bytes_per_s: u64 },
-    /// It breaks after so many more bytes have come back, in the middle of whatever is under way.
+    /// A connection breaks after so many more bytes from the far end, possibly in the middle of a message.
     Break { after_bytes: u64 },
-    /// Connections end and none is let through.
+    /// Connections are broken and new ones refused.
     Down {},
 }
 
 impl LinkFault {
-    /// Sets it, or takes it away again.
+    /// Sets the fault on a link, or removes it. `usual_delay` is the link's delay without a fault.
     pub fn apply(self, link: &Link, begins: bool, usual_delay: Duration) {
         match self {
             LinkFault::Cut { way } => link.stall(way, begins),
@@ -64,7 +66,7 @@
                 link.set_delay(if begins { Duration::from_millis(ms) } else { usual_delay });
             }
             LinkFault::Slow { bytes_per_s } => {
-                link.slow(Direction::Back, if begins { bytes_per_s } else { 0 });
+                link.limit_rate(Direction::Back, if begins { bytes_per_s } else { 0 });
             }
             LinkFault::Break { after_bytes } if begins => link.break_after(after_bytes),
             LinkFault::Break { .. } => {}
@@ -72,40 +74,42 @@
         }
     }
 
-    /// Whether it goes on for a time, in which nobody behind it can be held to what it was not told.
+    /// Whether the fault lasts for a time. During it the audit excuses the parts behind the link, as messages may not
+    /// have reached them.
     pub fn lasts(self) -> bool {
         !matches!(self, LinkFault::Break { .. })
     }
 }
 
+/// Links and lasting faults, by proxy number and server address.
 #[derive(Default)]
-struct Pairs {
+struct LinkTable {
     links: HashMap<(usize, SocketAddr), Link>,
     faults: HashMap<(usize, SocketAddr), LinkFault>,
 }
 
-/// One link for each proxy and server that have spoken.
+/// One link for each pair of a proxy and a server between which a connection was made.
 #[derive(Clone, Default)]
-pub struct ToServers(Arc<Mutex<Pairs>>);
+pub struct ServerLinks(Arc<Mutex<LinkTable>>);
 
-impl ToServers {
-    /// How a proxy connects to servers: through links that are made when first needed.
+impl ServerLinks {
+    /// Makes a proxy connect to servers through links, which are created when first needed.
     pub fn dial(&self, proxy: usize) -> Dial {
-        let pairs = self.0.clone();
+        let table = self.0.clone();
         Dial(Some(Arc::new(move |server| {
-            let lock = || pairs.lock().unwrap_or_else(PoisonError::into_inner);
+            let lock = || table.lock().unwrap_or_else(PoisonError::into_inner);
             if let Some(link) = lock().links.get(&(proxy, server)) {
                 return link.addr();
             }
-            // A proxy connects to a server once at a time, so nobody else makes the same link meanwhile.
+            // A proxy opens one connection to a server at a time, so no other thread creates the same link meanwhile.
             match Link::start(server, |_| {}) {
                 Ok(link) => {
-                    let mut pairs = lock();
-                    if let Some(fault) = pairs.faults.get(&(proxy, server)) {
+                    let mut table = lock();
+                    if let Some(fault) = table.faults.get(&(proxy, server)) {
                         fault.apply(&link, true, Duration::ZERO);
                     }
                     let addr = link.addr();
-                    pairs.links.insert((proxy, server), link);
+                    table.links.insert((proxy, server), link);
                     addr
                 }
                 Err(error) => {
@@ -116,14 +120,15 @@
         })))
     }
 
+    /// Begins or ends a fault of the link between a proxy and a server, also of one that is created later.
     pub fn set(&self, proxy: usize, server: SocketAddr, fault: LinkFault, begins: bool) {
-        let mut pairs = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut table = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if begins && fault.lasts() {
-            pairs.faults.insert((proxy, server), fault);
+            table.faults.insert((proxy, server), fault);
         } else {
-            pairs.faults.remove(&(proxy, server));
+            table.faults.remove(&(proxy, server));
         }
-        if let Some(link) = pairs.links.get(&(proxy, server)) {
+        if let Some(link) = table.links.get(&(proxy, server)) {
             fault.apply(link, begins, Duration::ZERO);
         }
     }
--- a/crates/whinhill-standins/src/lib.rs
+++ b/crates/whinhill-standins/src/lib.rs
@@ -1,5 +1,8 @@
-//! Stand-ins, written from public specifications, for what surrounds whinhill: servers, clients, the roster, the
-//! store, faulty links. With them days are played on loopback, and audited from what passed over the sockets.
+//! Stand-ins for the systems around whinhill, written from public specifications: servers, clients, the roster, the
+//! store and faulty links.
+//!
+//! A scripted day runs them on loopback together with real assigners and proxies. The auditor then checks the rules
+//! from events that were recorded at the sockets.
 
 pub mod audit;
 pub mod bench;
--- a/crates/whinhill-standins/src/link.rs
+++ b/crates/whinhill-standins/src/link.rs
@@ -1,5 +1,5 @@
-//! A faulty link: a relay on loopback that delays, cuts one way or both, breaks in mid-message, reads slowly, cuts the
-//! stream into small pieces, or passes the end of one side on and carries the other way still.
+//! A faulty link: a TCP relay on loopback that can delay bytes, stall one or both directions, break connections in the
+//! middle of a message, read slowly, split the stream into small pieces, or forward a half-close.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -12,126 +12,143 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What a link does to one direction.
+/// The settings and counters of one direction of a link.
 #[derive(Debug, Default)]
-struct Way {
+struct DirectionState {
     delay_us: AtomicU64,
-    /// Bytes stay where they are; connections stand.
+    /// No bytes are forwarded; connections stay open.
     stalled: AtomicBool,
-    /// Bytes after which the connections break; negative: never.
-    breaks_after: AtomicI64,
-    bytes: AtomicU64,
-    /// Bytes a second that are read from the sender; 0: as many as come.
-    rate: AtomicU64,
-    /// Bytes that are passed on at a time; 0: as many as there are.
-    piece: AtomicUsize,
+    /// Bytes after which a connection breaks; negative: never.
+    break_after_bytes: AtomicI64,
+    /// Bytes forwarded so far.
+    carried_bytes: AtomicU64,
+    /// The rate at which bytes are forwarded; 0: unlimited.
+    bytes_per_s: AtomicU64,
+    /// The size of the pieces in which bytes are forwarded; 0: as they were read.
+    piece_bytes: AtomicUsize,
 }
 
 struct Inner {
-    /// Where connections go; a process that starts again may listen elsewhere.
+    /// Where connections go. It changes when the target process starts again at another address.
     target: Mutex<SocketAddr>,
-    to: Way,
-    back: Way,
+    /// From the side that opened the connection.
+    forward: DirectionState,
+    /// Towards that side.
+    backward: DirectionState,
+    /// New connections are closed at once.
     down: AtomicBool,
-    /// The end of one side is passed on alone.
-    half_closes: AtomicBool,
+    /// When one side ends its stream, only this direction ends.
+    pass_half_close: AtomicBool,
     stop: AtomicBool,
     sockets: Mutex<Vec<TcpStream>>,
-    /// Called with true for each connection that gets through, with false when it ends.
-    watch: Box<dyn Fn(bool) + Send + Sync>,
+    /// Called with true for each connection that reaches the target, and with false when it ends.
+    on_connection: Box<dyn Fn(bool) + Send + Sync>,
 }
 
+/// One or both directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// From the one that opened the connection.
+    /// From the side that opened the connection to the target.
     To,
-    /// Towards it.
+    /// From the target to the side that opened the connection.
     Back,
     #[default]
     Both,
 }
 
+/// A running link. Dropping it breaks its connections.
 pub struct Link {
     addr: SocketAddr,
     inner: Arc<Inner>,
 }
 
-/// Between two pieces of a stream: enough that each is read by itself.
-const PIECE_EVERY: Duration = Duration::from_micros(200);
-const STACK: usize = 96 << 10;
-const CHUNK: usize = 16 << 10;
+/// The pause between two pieces of a stream, long enough that the receiver reads each by itself.
+const PIECE_INTERVAL: Duration = Duration::from_micros(200);
+/// Stack of a link's threads.
+const STACK_BYTES: usize = 96 << 10;
+/// Most bytes that are read at a time.
+const CHUNK_BYTES: usize = 16 << 10;
 
 impl Link {
-    /// A link to `target`; `watch` is called with true for each connection that gets through, false when it ends.
-    pub fn start(target: SocketAddr, watch: impl Fn(bool) + Send + Sync + 'static) -> io::Result<Self> {
+    /// Starts a link to `target`. `on_connection` is called with true for each connection that reaches the target, and
+    /// with false when it ends.
+    pub fn start(
+        target: SocketAddr,
+        on_connection: impl Fn(bool) + Send + Sync + 'static,
+    ) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
-        let way = || Way { breaks_after: AtomicI64::new(-1), ..Way::default() };
+        let direction =
+            || DirectionState { break_after_bytes: AtomicI64::new(-1), ..DirectionState::default() };
         let inner = Arc::new(Inner {
             target: Mutex::new(target),
-            to: way(),
-            back: way(),
+            forward: direction(),
+            backward: direction(),
             down: AtomicBool::new(false),
-            half_closes: AtomicBool::new(false),
+            pass_half_close: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             sockets: Mutex::default(),
-            watch: Box::new(watch),
+            on_connection: Box::new(on_connection),
         });
-        let held = inner.clone();
-        thread::Builder::new().name("link".into()).stack_size(STACK).spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                if held.stop.load(Ordering::Relaxed) {
+        let accepting = inner.clone();
+        thread::Builder::new().name("link".into()).stack_size(STACK_BYTES).spawn(move || {
+            for client_side in listener.incoming().map_while(Result::ok) {
+                if accepting.stop.load(Ordering::Relaxed) {
                     return;
                 }
-                if !held.down.load(Ordering::Relaxed) {
-                    // A target that is not there closes the near end, as its absence would.
-                    let _ = held.clone().relay(near);
+                if !accepting.down.load(Ordering::Relaxed) {
+                    // If the target can't be reached, the client's connection closes.
+                    let _ = accepting.clone().relay(client_side);
                 }
             }
         })?;
         Ok(Link { addr, inner })
     }
 
+    /// The address at which the link accepts connections.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    fn ways(&self, direction: Direction) -> impl Iterator<Item = &Way> {
-        let to = (direction != Direction::Back).then_some(&self.inner.to);
-        to.into_iter().chain((direction != Direction::To).then_some(&self.inner.back))
+    fn directions(&self, direction: Direction) -> impl Iterator<Item = &DirectionState> {
+        let to = (direction != Direction::Back).then_some(&self.inner.forward);
+        to.into_iter().chain((direction != Direction::To).then_some(&self.inner.backward))
     }
 
+    /// Sets where new connections go.
     pub fn set_target(&self, target: SocketAddr) {
         *self.inner.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
 
+    /// Sets the delay of each direction.
     pub fn set_delay(&self, delay: Duration) {
-        self.ways(Direction::Both)
-            .for_each(|way| way.delay_us.store(delay.as_micros() as u64, Ordering::Relaxed));
+        self.directions(Direction::Both)
+            .for_each(|state| state.delay_us.store(delay.as_micros() as u64, Ordering::Relaxed));
     }
 
-    /// Holds up all bytes of a direction, or lets them go on.
+    /// Stops forwarding in a direction, or resumes it.
     pub fn stall(&self, direction: Direction, stalled: bool) {
-        self.ways(direction).for_each(|way| way.stalled.store(stalled, Ordering::Relaxed));
+        self.directions(direction).for_each(|state| state.stalled.store(stalled, Ordering::Relaxed));
     }
 
-    /// Carries no more than so many bytes a second: a reader that is slow. 0: as many as come.
-    pub fn slow(&self, direction: Direction, bytes_per_s: u64) {
-        self.ways(direction).for_each(|way| way.rate.store(bytes_per_s, Ordering::Relaxed));
+    /// Limits a direction to so many bytes a second, as a slow reader would; 0: unlimited.
+    pub fn limit_rate(&self, direction: Direction, bytes_per_s: u64) {
+        self.directions(direction).for_each(|state| state.bytes_per_s.store(bytes_per_s, Ordering::Relaxed));
     }
 
-    /// Passes both ways on in pieces of so many bytes; 0: whole.
+    /// Forwards both directions in pieces of so many bytes; 0: as they were read.
     pub fn cut_into_pieces(&self, bytes: usize) {
-        self.ways(Direction::Both).for_each(|way| way.piece.store(bytes, Ordering::Relaxed));
+        self.directions(Direction::Both).for_each(|state| state.piece_bytes.store(bytes, Ordering::Relaxed));
     }
 
-    /// Passes the end of one side on and carries the other way until that ends too, or ends both at once.
-    pub fn half_close(&self, half_closes: bool) {
-        self.inner.half_closes.store(half_closes, Ordering::Relaxed);
+    /// Sets whether the end of one direction is forwarded while the other goes on until it ends too. Otherwise the end
+    /// of one direction ends the whole connection.
+    pub fn half_close(&self, pass_half_close: bool) {
+        self.inner.pass_half_close.store(pass_half_close, Ordering::Relaxed);
     }
 
-    /// Breaks all connections and refuses new ones, or carries again.
+    /// Breaks all connections and refuses new ones, or accepts connections again.
     pub fn cut(&self, down: bool) {
         self.inner.down.store(down, Ordering::Relaxed);
         if down {
@@ -139,14 +156,17 @@
         }
     }
 
-    /// Breaks what stands once `bytes` more have come back: in the middle of whatever is under way then.
+    /// Breaks a connection once `bytes` more have come back from the target, possibly in the middle of a message.
     pub fn break_after(&self, bytes: u64) {
-        self.inner.back.breaks_after.store(bytes as i64, Ordering::Relaxed);
+        self.inner.backward.break_after_bytes.store(bytes as i64, Ordering::Relaxed);
     }
 
-    /// Bytes carried to the target and back.
-    pub fn carried(&self) -> (u64, u64) {
-        (self.inner.to.bytes.load(Ordering::Relaxed), self.inner.back.bytes.load(Ordering::Relaxed))
+    /// Bytes forwarded to the target, and back from it.
+    pub fn carried_bytes(&self) -> (u64, u64) {
+        (
+            self.inner.forward.carried_bytes.load(Ordering::Relaxed),
+            self.inner.backward.carried_bytes.load(Ordering::Relaxed),
+        )
     }
 }
 
@@ -158,20 +178,22 @@
     }
 }
 
-/// How one way of a connection came to its end.
-enum Pumped {
-    /// All that the sender sent before its end was passed on.
-    ToTheEnd,
+/// How one direction of a connection ended.
+enum PumpEnd {
+    /// The sender ended its stream and all of it was forwarded.
+    SenderClosed,
+    /// The link broke the connection, or it ended without forwarding a half-close.
     Broken,
 }
 
+/// Writes data in pieces of so many bytes, with a pause between them; 0: at once.
 fn write_in_pieces(mut to: &TcpStream, data: &[u8], piece: usize) -> io::Result<()> {
     if piece == 0 {
         return to.write_all(data);
     }
     for (number, piece) in data.chunks(piece).enumerate() {
         if number > 0 {
-            thread::sleep(PIECE_EVERY);
+            thread::sleep(PIECE_INTERVAL);
         }
         to.write_all(piece)?;
     }
@@ -185,58 +207,61 @@
         }
     }
 
-    fn relay(self: Arc<Self>, near: TcpStream) -> io::Result<()> {
+    /// Connects to the target and starts a thread for each direction.
+    fn relay(self: Arc<Self>, client_side: TcpStream) -> io::Result<()> {
         let target = *self.target.lock().unwrap_or_else(PoisonError::into_inner);
-        let far = TcpStream::connect_timeout(&target, Duration::from_secs(1))?;
-        near.set_nodelay(true)?;
-        far.set_nodelay(true)?;
-        (self.watch)(true);
-        let (ended, one_ended) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let target_side = TcpStream::connect_timeout(&target, Duration::from_secs(1))?;
+        client_side.set_nodelay(true)?;
+        target_side.set_nodelay(true)?;
+        (self.on_connection)(true);
+        let (ended, half_ended) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         {
             let mut sockets = self.sockets.lock().unwrap_or_else(PoisonError::into_inner);
             sockets.retain(|socket| socket.peer_addr().is_ok());
-            sockets.extend([near.try_clone()?, far.try_clone()?]);
+            sockets.extend([client_side.try_clone()?, target_side.try_clone()?]);
         }
-        let pairs = [(near.try_clone()?, far.try_clone()?, true), (far, near, false)];
-        for (from, to, forth) in pairs {
-            let (inner, ended, one_ended) = (self.clone(), ended.clone(), one_ended.clone());
-            let thread = thread::Builder::new().name("link-way".into()).stack_size(STACK);
+        let directions =
+            [(client_side.try_clone()?, target_side.try_clone()?, true), (target_side, client_side, false)];
+        for (from, to, is_forward) in directions {
+            let (inner, ended, half_ended) = (self.clone(), ended.clone(), half_ended.clone());
+            let thread = thread::Builder::new().name("link-way".into()).stack_size(STACK_BYTES);
             thread.spawn(move || {
-                let way = if forth { &inner.to } else { &inner.back };
-                let pumped = inner.pump(way, &from, &to);
-                if matches!(pumped, Ok(Pumped::ToTheEnd)) && !one_ended.swap(true, Ordering::Relaxed) {
-                    // The other way is carried on until it ends.
+                let state = if is_forward { &inner.forward } else { &inner.backward };
+                let outcome = inner.pump(state, &from, &to);
+                if matches!(outcome, Ok(PumpEnd::SenderClosed)) && !half_ended.swap(true, Ordering::Relaxed) {
+                    // The other direction goes on until it ends.
                     let _ = to.shutdown(Shutdown::Write);
                     return;
                 }
                 let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
                 if !ended.swap(true, Ordering::Relaxed) {
-                    (inner.watch)(false);
+                    (inner.on_connection)(false);
                 }
             })?;
         }
         Ok(())
     }
 
-    fn pump(&self, way: &Way, mut from: &TcpStream, mut to: &TcpStream) -> io::Result<Pumped> {
+    /// Forwards one direction until it ends.
+    fn pump(&self, state: &DirectionState, mut from: &TcpStream, mut to: &TcpStream) -> io::Result<PumpEnd> {
         from.set_read_timeout(Some(Duration::from_millis(5)))?;
-        let mut waiting: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
-        let (mut chunk, mut from_ended) = ([0; CHUNK], false);
+        let mut in_transit: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+        let (mut chunk, mut sender_closed) = ([0; CHUNK_BYTES], false);
         loop {
-            if from_ended && waiting.is_empty() {
-                return Ok(Pumped::ToTheEnd);
+            if sender_closed && in_transit.is_empty() {
+                return Ok(PumpEnd::SenderClosed);
             }
-            // What is on its way is bounded: past it the sender's own window closes.
-            let slow = way.rate.load(Ordering::Relaxed) > 0;
-            if waiting.len() < if slow { 2 } else { 64 } && !from_ended {
-                // A slow reader takes little at a time, so that its rate is even.
-                let most = if slow { 512 } else { CHUNK };
-                match from.read(&mut chunk[..most]) {
-                    Ok(0) if self.half_closes.load(Ordering::Relaxed) => from_ended = true,
-                    Ok(0) => return Ok(Pumped::Broken),
+            // The chunks in transit are limited; beyond the limit the sender's TCP window closes.
+            let slow = state.bytes_per_s.load(Ordering::Relaxed) > 0;
+            if in_transit.len() < if slow { 2 } else { 64 } && !sender_closed {
+                // At a limited rate only small chunks are read, so that the rate is even.
+                let read_size = if slow { 512 } else { CHUNK_BYTES };
+                match from.read(&mut chunk[..read_size]) {
+                    Ok(0) if self.pass_half_close.load(Ordering::Relaxed) => sender_closed = true,
+                    Ok(0) => return Ok(PumpEnd::Broken),
                     Ok(count) => {
-                        let delay = Duration::from_micros(way.delay_us.load(Ordering::Relaxed));
-                        waiting.push_back((Instant::now() + delay, chunk[..count].to_vec()));
+                        let delay = Duration::from_micros(state.delay_us.load(Ordering::Relaxed));
+                        in_transit.push_back((Instant::now() + delay, chunk[..count].to_vec()));
                     }
                     Err(error)
                         if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
@@ -244,29 +269,29 @@
                 }
             } else {
                 thread::park_timeout(Duration::from_millis(5));
-                // A sender that has broken off wants nothing of this delivered any more.
+                // If the sender reset its connection, the bytes in transit must not be delivered any more.
                 if let Some(error) = from.take_error()? {
                     return Err(error);
                 }
             }
-            while !way.stalled.load(Ordering::Relaxed)
-                && waiting.front().is_some_and(|(due, _)| *due <= Instant::now())
+            while !state.stalled.load(Ordering::Relaxed)
+                && in_transit.front().is_some_and(|(due, _)| *due <= Instant::now())
             {
-                let Some((_, data)) = waiting.pop_front() else { break };
-                let left = way.breaks_after.load(Ordering::Relaxed);
+                let Some((_, data)) = in_transit.pop_front() else { break };
+                let left = state.break_after_bytes.load(Ordering::Relaxed);
                 if left >= 0 {
-                    let part = data.len().min(left as usize);
-                    to.write_all(&data[..part])?;
-                    if part < data.len() {
-                        way.breaks_after.store(-1, Ordering::Relaxed);
-                        return Ok(Pumped::Broken);
+                    let count = data.len().min(left as usize);
+                    to.write_all(&data[..count])?;
+                    if count < data.len() {
+                        state.break_after_bytes.store(-1, Ordering::Relaxed);
+                        return Ok(PumpEnd::Broken);
                     }
-                    way.breaks_after.store(left - part as i64, Ordering::Relaxed);
+                    state.break_after_bytes.store(left - count as i64, Ordering::Relaxed);
                 } else {
-                    write_in_pieces(to, &data, way.piece.load(Ordering::Relaxed))?;
+                    write_in_pieces(to, &data, state.piece_bytes.load(Ordering::Relaxed))?;
                 }
-                way.bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
-                let rate = way.rate.load(Ordering::Relaxed);
+                state.carried_bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
+                let rate = state.bytes_per_s.load(Ordering::Relaxed);
                 if rate > 0 {
                     thread::sleep(Duration::from_secs_f64(data.len() as f64 / rate as f64));
                 }
--- a/crates/whinhill-standins/src/play.rs
+++ b/crates/whinhill-standins/src/play.rs
@@ -1,43 +1,46 @@
-//! Plays a scripted day: starts everything, lets it run, lets things fail when the script says so, stops it, audits.
+//! Runs a scripted day: starts the fleet, applies load, injects faults by the script, stops the fleet and audits it.
 //!
-//! [`play`] is the whole. The fleet's parts start and stop in `assigners`, `proxies` and `servers`; `script` says what
-//! is due, `troubles` and `links` do it, `load` calls meanwhile, and `outcome` sums up.
+//! [`play`] does all of it. The modules `assigners`, `proxies` and `servers` start and stop the parts of the fleet.
+//! `schedule` decides what is due, `faults` and `links` inject and end faults, `load` sends RPCs meanwhile, and
+//! `outcome` summarizes the run.
 
 mod assigners;
 mod error;
+mod faults;
 mod fleet;
+mod handle;
 mod links;
 mod load;
 mod outcome;
 mod proxies;
-mod rig;
 mod rollbacks;
-mod script;
+mod schedule;
 mod servers;
-mod troubles;
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-use crate::day::{Day, Scheduled, Trouble};
+use crate::day::{Day, FaultKind, ScheduledFault};
 
 pub use error::PlayError;
+pub use handle::{with_fleet, Rig};
 pub use outcome::Outcome;
-pub use rig::{with_fleet, Rig};
 pub use rollbacks::Rollbacks;
 
 use fleet::Fleet;
 
-/// How long the fleet may take to be ready for load.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const STOP_WITHIN: Duration = Duration::from_secs(10);
+/// How long a process may take to start, and the fleet to be ready for load.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long processes may take to end before they are killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Plays `day`. `program` is the binary that runs as an assigner; files go to `out`.
+/// Runs `day` and returns its outcome. `program` is the binary that runs as assigner and as proxy where these are
+/// processes. Configurations, logs and status files go to `out`.
 pub fn play(day: &Day, program: &Path, out: &Path) -> Result<Outcome, PlayError> {
     let mut fleet = Fleet::start(day, program, out)?;
     let result = fleet.run();
-    let has_rollback = |fault: &Scheduled| matches!(fault.what, Trouble::RollBack { .. });
+    let has_rollback = |fault: &ScheduledFault| matches!(fault.what, FaultKind::RollBack { .. });
     let rollbacks = day.faults.iter().any(has_rollback).then(|| fleet.rollbacks());
     let proxies = fleet.stop();
     Ok(Outcome::of(&fleet, &result?, &proxies, rollbacks))
--- a/crates/whinhill-standins/src/play/assigners.rs
+++ b/crates/whinhill-standins/src/play/assigners.rs
@@ -11,18 +11,18 @@
 use whinhill_assigner::{Assigner, AssignerConfig, RosterConfig, StoreConfig};
 
 use super::error::io_at;
-use super::{loopback, Fleet, PlayError, READY_WITHIN, STOP_WITHIN};
+use super::{loopback, Fleet, PlayError, READY_TIMEOUT, STOP_TIMEOUT};
 use crate::day::{RunAs, Sabotage};
 use crate::hops::Hop;
 use crate::link::Link;
-use crate::record::Seen;
-use crate::roster::RESOURCE;
+use crate::record::Event;
+use crate::roster::EDS_RESOURCE;
 use crate::running::{self, RunningAssigner};
 
-/// What each assigner's process logs.
+/// The log level of each assigner's process.
 const LOG_LEVEL: &str = "info,whinhill_assigner=debug";
 
-/// One assigner, through all its lives.
+/// One assigner, which may be killed and started again.
 pub(super) struct AssignerSlot {
     pub(super) name: String,
     pub(super) running: Option<RunningAssigner>,
@@ -31,16 +31,18 @@
     pub(super) dir: PathBuf,
     pub(super) store_link: Link,
     pub(super) roster_link: Option<Link>,
-    pub(super) lives: u32,
+    /// How often it was started.
+    pub(super) starts: u32,
+    /// The status file of each start.
     pub(super) status: Vec<PathBuf>,
 }
 
 impl Fleet<'_> {
-    /// Makes a place for an assigner, with its links and its configuration, and starts it there.
+    /// Adds an assigner with its links and its configuration, and starts it.
     pub(super) fn add_assigner(&mut self, number: usize, out: &Path) -> Result<(), PlayError> {
         let name = format!("assigner-{number}");
         let dir = out.join(&name);
-        // What an earlier day left there would be taken for this one's.
+        // Files that an earlier day left there would be read as this day's.
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(&dir).map_err(io_at("an assigner's folder"))?;
         let store_link = Link::start(self.store.addr(), |_| {}).map_err(io_at("a link"))?;
@@ -62,7 +64,7 @@
             dir,
             store_link,
             roster_link,
-            lives: 0,
+            starts: 0,
             status: Vec::new(),
         };
         self.assigners.push(assigner);
@@ -88,7 +90,7 @@
             rules: self.day.rules.clone(),
             channel: self.day.channel.clone(),
             roster: match roster_addr {
-                Some(addr) => RosterConfig::Eds { addr, resource: RESOURCE.to_string() },
+                Some(addr) => RosterConfig::Eds { addr, resource: EDS_RESOURCE.to_string() },
                 None => RosterConfig::File { path: self.roster.path().to_path_buf() },
             },
             store: StoreConfig { addr: store_addr, prefix: "whinhill".into(), within_ms: 300 },
@@ -98,7 +100,8 @@
             probes: self.day.probes,
             answer_within_ms: 6000,
             proxies_most: 1024,
-            // Grants wait for the file of sets: on a disk that stalls, a wait that is skipped would not show.
+            // Grants wait until the table set is on disk. On a slow disk that wait would hide that the assigner
+            // skips the other one, so an assigner with this sabotage keeps no file.
             state_dir: (!skips_the_wait).then(|| dir.to_path_buf()),
             status_file: None,
             operators: Some(loopback()),
@@ -108,68 +111,70 @@
         }
     }
 
-    /// Starts an assigner and points the proxies' links at where it listens.
+    /// Starts an assigner and directs the proxies' links to its address.
     pub(super) fn start_assigner(&mut self, number: usize) -> Result<(), PlayError> {
         let slot = &mut self.assigners[number];
-        slot.lives += 1;
-        let life = slot.lives;
+        slot.starts += 1;
+        let start = slot.starts;
         let (ready, status) =
-            (slot.dir.join(format!("ready-{life}")), slot.dir.join(format!("status-{life}.jsonl")));
-        let log = slot.dir.join(format!("log-{life}.jsonl"));
+            (slot.dir.join(format!("ready-{start}")), slot.dir.join(format!("status-{start}.jsonl")));
+        let log = slot.dir.join(format!("log-{start}.jsonl"));
         let (running, addr) = match self.day.run.assigners {
             RunAs::Processes => slot.start_process(self.program, &ready, &log, &status)?,
             RunAs::Threads => slot.start_thread(&status)?,
         };
         (slot.running, slot.addr) = (Some(running), addr);
         slot.status.push(status);
-        self.record.note(Seen::Runs { assigner: slot.name.as_str().into(), runs: true });
+        self.recorder.add(Event::AssignerRunning { assigner: slot.name.as_str().into(), running: true });
         for link in self.proxies.iter().filter_map(|proxy| proxy.links.get(number)) {
             link.set_target(addr);
         }
         Ok(())
     }
 
-    /// Stops all at a time, in good order.
+    /// Stops all assigners at the same time, gracefully.
     pub(super) fn stop_assigners(&mut self) {
         for slot in &self.assigners {
             if let Some(RunningAssigner::Process(child)) = &slot.running {
-                // One that stands still can't end.
+                // A stalled process can't end.
                 running::signal(child, Signal::CONT);
                 running::signal(child, Signal::TERM);
             }
         }
-        let until = Instant::now() + STOP_WITHIN;
+        let until = Instant::now() + STOP_TIMEOUT;
         for slot in &mut self.assigners {
             match slot.running.take() {
-                Some(RunningAssigner::Process(mut child)) => running::ended(&mut child, &slot.name, until),
+                Some(RunningAssigner::Process(mut child)) => {
+                    running::wait_or_kill(&mut child, &slot.name, until)
+                }
                 Some(RunningAssigner::Thread(assigner)) => assigner.stop(),
                 None => {}
             }
         }
     }
 
-    /// Ends one at once, as a power cut would.
+    /// Ends an assigner at once, as a power failure would.
     pub(super) fn kill_assigner(&mut self, number: usize) {
         let slot = &mut self.assigners[number];
         if let Some(RunningAssigner::Process(mut child)) = slot.running.take() {
-            self.record.note(Seen::Runs { assigner: slot.name.as_str().into(), runs: false });
+            self.recorder.add(Event::AssignerRunning { assigner: slot.name.as_str().into(), running: false });
             running::kill(&mut child);
         }
     }
 
-    /// Stops a process or lets it go on.
-    pub(super) fn signal_assigner(&self, which: usize, signal: Signal, runs: bool) {
+    /// Stalls or resumes an assigner's process; `running` is its state after the signal.
+    pub(super) fn signal_assigner(&self, which: usize, signal: Signal, running: bool) {
         let slot = &self.assigners[which];
         if let Some(RunningAssigner::Process(child)) = &slot.running {
             running::signal(child, signal);
         }
-        self.record.note(Seen::Runs { assigner: slot.name.as_str().into(), runs });
+        self.recorder.add(Event::AssignerRunning { assigner: slot.name.as_str().into(), running });
     }
 }
 
 impl AssignerSlot {
-    /// Where it writes the address at which it listens to operators.
-    pub(super) fn operators(&self) -> PathBuf {
+    /// The file in which it writes the address of its operator interface.
+    pub(super) fn operators_file(&self) -> PathBuf {
         self.dir.join("operators")
     }
 
@@ -187,7 +192,7 @@
         let mut arguments: Vec<&OsStr> =
             ["--log", "json", "--log-level", LOG_LEVEL, "assigner", "--config"].map(OsStr::new).into();
         arguments.extend([self.config.as_os_str(), OsStr::new("--status-file"), status.as_os_str()]);
-        let started = running::start_process(program, &arguments, ready, log, READY_WITHIN);
+        let started = running::start_process(program, &arguments, ready, log, READY_TIMEOUT);
         let (child, addr) = started.map_err(|error| self.failed(&error))?;
         Ok((RunningAssigner::Process(child), addr))
     }
--- a/crates/whinhill-standins/src/play/fleet.rs
+++ b/crates/whinhill-standins/src/play/fleet.rs
@@ -1,4 +1,4 @@
-//! All parts of a day, and how they start and stop together.
+//! All parts of a day, and how they are started and stopped together.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -14,30 +14,31 @@
 
 use super::assigners::AssignerSlot;
 use super::error::io_at;
-use super::load::Rate;
+use super::load::RateFactor;
 use super::outcome::ProxyTotals;
 use super::proxies::ProxySlot;
 use super::servers::ServerSlot;
-use super::{loopback, PlayError, READY_WITHIN};
-use crate::clients::Front;
-use crate::day::{Day, RosterBy};
-use crate::hops::ToServers;
+use super::{loopback, PlayError, READY_TIMEOUT};
+use crate::clients::ProxyAddrs;
+use crate::day::{Day, RosterSource};
+use crate::hops::ServerLinks;
 use crate::record::Recorder;
 use crate::roster::RosterStandIn;
 use crate::store::StoreStandIn;
 
-/// Threads that turn the connections of a day's parts, and those that serve its RPCs at the most.
-const DRIVERS: usize = 3;
-const WORKERS: usize = 6000;
-/// How often it is looked whether the fleet is ready.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Threads that do the I/O of the connections of the day's parts.
+const DRIVER_THREADS: usize = 3;
+/// Most threads that serve RPCs of the day's parts.
+const MAX_WORKER_THREADS: usize = 6000;
+/// How often readiness of the fleet is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Everything that runs in a day.
+/// Everything that runs during a day.
 pub(super) struct Fleet<'a> {
     pub(super) day: &'a Day,
     pub(super) program: &'a Path,
     pub(super) service: Arc<Service>,
-    pub(super) record: Recorder,
+    pub(super) recorder: Recorder,
     pub(super) drivers: Drivers,
     pub(super) workers: Workers,
     pub(super) store: StoreStandIn,
@@ -46,33 +47,33 @@
     pub(super) servers: Vec<ServerSlot>,
     pub(super) proxies: Vec<ProxySlot>,
     pub(super) assigners: Vec<AssignerSlot>,
-    pub(super) to_servers: ToServers,
-    pub(super) front: Front,
-    pub(super) rate: Rate,
+    pub(super) server_links: ServerLinks,
+    pub(super) proxy_addrs: ProxyAddrs,
+    pub(super) rate: RateFactor,
     pub(super) rng: ChaCha8Rng,
-    /// Milliseconds that each rollback took.
-    pub(super) rolled_back: Arc<Mutex<Vec<f64>>>,
+    /// Duration of each rollback that completed, in milliseconds.
+    pub(super) rollback_times_ms: Arc<Mutex<Vec<f64>>>,
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts everything; files go to `out`.
+    /// Starts everything and waits until the proxies hold all tables. Files go to `out`.
     pub(super) fn start(day: &'a Day, program: &'a Path, out: &Path) -> Result<Self, PlayError> {
         fs::create_dir_all(out).map_err(io_at("the output folder"))?;
         let service = Arc::new(day.service.service());
-        let record = Recorder::default();
-        let drivers = Drivers::start("day", DRIVERS).map_err(io_at("driver threads"))?;
-        let workers = Workers::new("day", WORKERS, whinhill_transport::CALL_STACK);
-        let store = StoreStandIn::start(loopback(), &record).map_err(io_at("the store"))?;
-        let mut roster = RosterStandIn::new(&out.join("roster.json5"), &record);
+        let recorder = Recorder::default();
+        let drivers = Drivers::start("day", DRIVER_THREADS).map_err(io_at("driver threads"))?;
+        let workers = Workers::new("day", MAX_WORKER_THREADS, whinhill_transport::CALL_STACK);
+        let store = StoreStandIn::start(loopback(), &recorder).map_err(io_at("the store"))?;
+        let mut roster = RosterStandIn::new(&out.join("roster.json5"), &recorder);
         let roster_addr = match day.roster {
-            RosterBy::File => None,
-            RosterBy::Eds => Some(roster.listen(&drivers, &workers).map_err(io_at("the roster"))?),
+            RosterSource::File => None,
+            RosterSource::Eds => Some(roster.listen(&drivers, &workers).map_err(io_at("the roster"))?),
         };
         let mut fleet = Fleet {
             day,
             program,
             service,
-            record,
+            recorder,
             drivers,
             workers,
             store,
@@ -81,11 +82,11 @@
             servers: Vec::new(),
             proxies: Vec::new(),
             assigners: Vec::new(),
-            to_servers: ToServers::default(),
-            front: Front::default(),
-            rate: Rate::default(),
+            server_links: ServerLinks::default(),
+            proxy_addrs: ProxyAddrs::default(),
+            rate: RateFactor::default(),
             rng: ChaCha8Rng::seed_from_u64(day.seed),
-            rolled_back: Arc::default(),
+            rollback_times_ms: Arc::default(),
         };
         for number in 0..day.servers.count {
             fleet.add_server(number)?;
@@ -105,24 +106,24 @@
 
     /// Waits until every proxy holds a table for each slice and method.
     fn wait_until_ready(&self) -> Result<(), PlayError> {
-        let each = self.service.slices * self.service.methods.len();
-        let wanted = each * self.proxies.len();
-        let until = Instant::now() + READY_WITHIN;
+        let per_proxy = self.service.slices * self.service.methods.len();
+        let wanted = per_proxy * self.proxies.len();
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let held = self.proxies.iter().filter_map(|p| Some(p.running.as_ref()?.figures().held)).sum();
             if held == wanted {
                 return Ok(());
             }
-            if Instant::now() > until {
-                return Err(PlayError::NotReady { within: READY_WITHIN, held, wanted });
+            if Instant::now() > deadline {
+                return Err(PlayError::NotReady { timeout: READY_TIMEOUT, held, wanted });
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Stops everything. Returns what proxies counted: tables rejected, streams opened again.
+    /// Stops all proxies and assigners. Returns what proxies counted: rejected tables and reopened streams.
     pub(super) fn stop(&mut self) -> ProxyTotals {
-        // Proxies first: streams that they lose to the assigners' end are no event of the day.
+        // Proxies first: streams lost because the assigners stop would otherwise count as reconnects of the day.
         self.stop_proxies();
         self.stop_assigners();
         ProxyTotals {
--- a/crates/whinhill-standins/src/play/rig.rs
+++ b/crates/whinhill-standins/src/play/handle.rs
@@ -1,4 +1,4 @@
-//! A day's fleet without its load and its troubles, for measurements.
+//! Access to a day's fleet without its load and its faults, for measurements.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,21 +8,23 @@
 use crate::day::Day;
 use crate::running::{ProxyFigures, RunningProxy};
 
-/// A day's fleet without its load and its troubles, for measurements.
+/// A running fleet of a day, without the day's load and faults.
 pub struct Rig<'a>(Fleet<'a>);
 
 impl Rig<'_> {
+    /// The addresses at which clients reach the proxies.
     pub fn proxies(&self) -> Vec<SocketAddr> {
-        let front = self.0.front.lock().unwrap_or_else(PoisonError::into_inner);
-        front.iter().map(|(_, addr)| *addr).collect()
+        let proxy_addrs = self.0.proxy_addrs.lock().unwrap_or_else(PoisonError::into_inner);
+        proxy_addrs.iter().map(|(_, addr)| *addr).collect()
     }
 
+    /// The addresses of the servers that run.
     pub fn servers(&self) -> Vec<SocketAddr> {
         let servers = self.0.servers.iter().filter_map(|slot| slot.server.as_ref());
         servers.filter_map(|server| server.name().parse().ok()).collect()
     }
 
-    /// The first proxy's process, where it is one, and what it says of itself.
+    /// The process id and the figures of the first proxy, if it runs as a process.
     pub fn first_proxy(&self) -> Option<(u32, ProxyFigures)> {
         match self.0.proxies.first()?.running.as_ref()? {
             running @ RunningProxy::Process { child, .. } => Some((child.id(), running.figures())),
@@ -30,14 +32,15 @@
         }
     }
 
-    /// Whether servers take RPCs and answer none.
+    /// Sets whether servers accept RPCs without answering them.
     pub fn silence(&self, silent: bool) {
         for server in self.0.servers.iter().filter_map(|slot| slot.server.as_ref()) {
             server.set_faults(|faults| faults.silent = silent);
         }
     }
 
-    /// Breaks every table stream: proxies open them again, and in state of the world are told all anew.
+    /// Breaks every table stream once. Proxies open them again; with the state-of-the-world variant they are sent all
+    /// tables again.
     pub fn break_streams(&self) {
         for link in self.0.proxies.iter().flat_map(|proxy| &proxy.links) {
             link.cut(true);
@@ -46,7 +49,7 @@
     }
 }
 
-/// Starts a day's fleet, hands it to `act`, and stops it.
+/// Starts a day's fleet, calls `act` with it, and stops it.
 pub fn with_fleet<T>(
     day: &Day,
     program: &Path,
--- a/crates/whinhill-standins/src/play/load.rs
+++ b/crates/whinhill-standins/src/play/load.rs
@@ -1,4 +1,4 @@
-//! The load of a day: clients that call through the proxies until they are told to stop.
+//! The load of a day: clients that send RPCs through the proxies until they are stopped.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,76 +11,78 @@
 
 use super::error::io_at;
 use super::{Fleet, PlayError};
-use crate::clients::{Clients, Totals};
+use crate::clients::{Counters, LoadGenerator};
 
-/// The longest time of an answer that is told apart, in microseconds, and its digits.
-const MICROS_MOST: u64 = 60_000_000;
-const MICROS_DIGITS: u8 = 3;
-/// RPCs that clients have out at a time.
-const CLIENTS_MOST: usize = 4000;
-/// The usual rate, in thousandths of the day's.
-const USUAL_RATE: u64 = 1000;
-/// So that clients draw other numbers than the fleet.
-const CLIENTS_SEED: u64 = 0x9e37_79b9;
+/// The highest latency that the histogram distinguishes, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Significant digits of the latency histogram.
+const LATENCY_DIGITS: u8 = 3;
+/// Most RPCs that clients have in flight at a time.
+const MAX_CONCURRENT_RPCS: usize = 4000;
+/// The day's own rate; rates are stored in thousandths of it.
+const BASE_RATE: u64 = 1000;
+/// Makes the clients' random numbers differ from the fleet's: combined with the day's seed by XOR.
+const CLIENT_SEED_MASK: u64 = 0x9e37_79b9;
 
-/// How many times the day's rate clients call at the moment.
+/// The current rate of the clients as a factor of the day's rate.
 #[derive(Clone)]
-pub(super) struct Rate(Arc<AtomicU64>);
+pub(super) struct RateFactor(Arc<AtomicU64>);
 
-impl Default for Rate {
+impl Default for RateFactor {
     fn default() -> Self {
-        Rate(Arc::new(AtomicU64::new(USUAL_RATE)))
+        RateFactor(Arc::new(AtomicU64::new(BASE_RATE)))
     }
 }
 
-impl Rate {
-    pub(super) fn set_times(&self, times: f64) {
-        self.0.store((times * USUAL_RATE as f64) as u64, Ordering::Relaxed);
+impl RateFactor {
+    pub(super) fn set_factor(&self, factor: f64) {
+        self.0.store((factor * BASE_RATE as f64) as u64, Ordering::Relaxed);
     }
 }
 
-/// What clients counted, and the times of their ok answers in microseconds.
-pub(super) struct Measured {
-    pub(super) totals: Arc<Totals>,
-    pub(super) micros: Arc<Mutex<Histogram<u64>>>,
+/// What clients counted, and the latencies of their successful RPCs in microseconds.
+pub(super) struct LoadResult {
+    pub(super) counters: Arc<Counters>,
+    pub(super) latencies_us: Arc<Mutex<Histogram<u64>>>,
 }
 
-/// Clients that call.
-pub(super) struct Load {
+/// LoadGenerator that call.
+pub(super) struct RunningLoad {
     thread: thread::JoinHandle<()>,
     stop: Arc<AtomicBool>,
-    measured: Measured,
+    result: LoadResult,
 }
 
-impl Load {
+impl RunningLoad {
     pub(super) fn start(fleet: &Fleet<'_>) -> Result<Self, PlayError> {
-        let micros = Histogram::new_with_bounds(1, MICROS_MOST, MICROS_DIGITS)
+        let latencies_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
             .map_err(|error| io_at("a histogram")(io::Error::other(error.to_string())))?;
-        let measured = Measured { totals: Arc::default(), micros: Arc::new(Mutex::new(micros)) };
+        let result =
+            LoadResult { counters: Arc::default(), latencies_us: Arc::new(Mutex::new(latencies_us)) };
         let stop = Arc::new(AtomicBool::new(false));
-        let clients = Clients {
+        let clients = LoadGenerator {
             service: fleet.service.clone(),
             load: fleet.day.load.clone(),
-            front: fleet.front.clone(),
-            record: fleet.record.clone(),
+            proxies: fleet.proxy_addrs.clone(),
+            recorder: fleet.recorder.clone(),
             drivers: Drivers::start("clients", 1).map_err(io_at("driver threads"))?,
-            workers: Workers::new("clients", CLIENTS_MOST, whinhill_transport::CALL_STACK),
-            seed: fleet.day.seed ^ CLIENTS_SEED,
+            workers: Workers::new("clients", MAX_CONCURRENT_RPCS, whinhill_transport::CALL_STACK),
+            seed: fleet.day.seed ^ CLIENT_SEED_MASK,
             rate: fleet.rate.0.clone(),
             stop: stop.clone(),
-            totals: measured.totals.clone(),
-            micros: measured.micros.clone(),
+            counters: result.counters.clone(),
+            latencies_us: result.latencies_us.clone(),
         };
         let thread = thread::Builder::new().name("load".into()).spawn(move || clients.run());
-        Ok(Load { thread: thread.map_err(io_at("the load"))?, stop, measured })
+        Ok(RunningLoad { thread: thread.map_err(io_at("the load"))?, stop, result })
     }
 
-    /// Ends it and waits for the RPCs that are out.
-    pub(super) fn stop(self) -> Measured {
+    /// Stops the load and waits for the RPCs in flight.
+    pub(super) fn stop(self) -> LoadResult {
         self.stop.store(true, Ordering::Relaxed);
         if self.thread.join().is_err() {
             warn!("the load's thread panicked");
         }
-        self.measured
+        self.result
     }
 }
--- a/crates/whinhill-standins/src/play/rollbacks.rs
+++ b/crates/whinhill-standins/src/play/rollbacks.rs
@@ -1,4 +1,4 @@
-//! Rollbacks in the middle of a day: ordered at each assigner, timed, and counted at the end.
+//! Rollbacks during a day: requested at each assigner, timed, and counted at the end.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,80 +15,82 @@
 use super::assigners::AssignerSlot;
 use super::Fleet;
 
-/// How long a rollback is watched, how often, and the watching thread's stack in bytes.
-const WATCH_MOST: Duration = Duration::from_secs(120);
-const WATCH_EVERY: Duration = Duration::from_millis(50);
-const WATCH_STACK: usize = 256 << 10;
-/// How long a rollback may take, as it is ordered.
-const ORDERED_WITHIN: Duration = Duration::from_secs(60);
+/// How long a rollback is watched before its timing is given up.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(120);
+/// How often a rollback's state is queried.
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Stack of the thread that watches a rollback.
+const WATCH_STACK_BYTES: usize = 256 << 10;
+/// How long a rollback may take, as requested from the assigners.
+const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What became of a day's rollbacks.
+/// What became of a day's rollbacks, summed over the assigners.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Rollbacks {
     pub asked: u64,
     pub ended: u64,
     pub slices_done: u64,
     pub slices_abandoned: u64,
-    /// From the command until all of it had ended and every proxy had acknowledged it; the assigner looks once a
-    /// second.
+    /// Time from each request until the rollback had ended at every assigner and every proxy had acknowledged its
+    /// tables. Assigners evaluate rollbacks once a second.
     pub took_ms: Vec<f64>,
 }
 
 impl Fleet<'_> {
-    /// Has every assigner that answers lead its owners back to where they were so long ago.
+    /// Requests from every assigner that answers a rollback of its owners to their state `ago` before now.
     pub(super) fn roll_back(&self, ago: Duration) {
         let then = SystemTime::now().checked_sub(ago).and_then(|then| then.duration_since(UNIX_EPOCH).ok());
         let unix_ms = then.map_or(0, |then| then.as_millis() as u64);
         for slot in &self.assigners {
-            let order = Ask::Rollback {
+            let request = Ask::Rollback {
                 to: Target::UnixMs(unix_ms),
                 slices: None,
                 by: "the day's script".into(),
                 dry_run: false,
-                within_ms: ORDERED_WITHIN.as_millis() as u64,
+                within_ms: ROLLBACK_TIMEOUT.as_millis() as u64,
             };
-            let Some(addr) = operators(&slot.operators()) else { continue };
-            match whinhill_assigner::ask(addr, &order, &self.drivers) {
+            let Some(addr) = operator_addr(&slot.operators_file()) else { continue };
+            match whinhill_assigner::ask(addr, &request, &self.drivers) {
                 Ok(Answer::Plan { id, to, slices, .. }) => {
                     let moves = slices.iter().filter(|line| line.verdict == "moves").count();
-                    info!(name = %slot.name, ?id, to, moves, "rollback begun");
+                    info!(name = %slot.name, ?id, to, moves, "rollback started");
                 }
                 Ok(_) => {}
-                // One that is dead at the time can't be asked.
-                Err(error) => warn!(name = %slot.name, %error, "no rollback"),
+                // An assigner that is down at the time can't be asked.
+                Err(error) => warn!(name = %slot.name, %error, "rollback not requested"),
             }
         }
         self.time_rollback();
     }
 
-    /// Watches, beside the day, how long a rollback takes until it has ended everywhere and every proxy has
-    /// acknowledged what came of it.
+    /// Measures in a thread of its own how long the rollback takes until it has ended at every assigner and every
+    /// proxy has acknowledged its tables.
     fn time_rollback(&self) {
-        let paths: Vec<PathBuf> = self.assigners.iter().map(AssignerSlot::operators).collect();
-        let (drivers, took, began) = (self.drivers.clone(), self.rolled_back.clone(), Instant::now());
+        let paths: Vec<PathBuf> = self.assigners.iter().map(AssignerSlot::operators_file).collect();
+        let (drivers, took, began) = (self.drivers.clone(), self.rollback_times_ms.clone(), Instant::now());
         let watch = move || {
-            while began.elapsed() < WATCH_MOST {
-                let done = paths.iter().all(|path| rolled_back(path, &drivers));
+            while began.elapsed() < WATCH_TIMEOUT {
+                let done = paths.iter().all(|path| all_rollbacks_done(path, &drivers));
                 if done {
                     let ms = began.elapsed().as_secs_f64() * 1e3;
                     return took.lock().unwrap_or_else(PoisonError::into_inner).push(ms);
                 }
-                thread::sleep(WATCH_EVERY);
+                thread::sleep(WATCH_INTERVAL);
             }
         };
         if let Err(error) =
-            thread::Builder::new().name("rollback".into()).stack_size(WATCH_STACK).spawn(watch)
+            thread::Builder::new().name("rollback".into()).stack_size(WATCH_STACK_BYTES).spawn(watch)
         {
             warn!(%error, "the rollback is not timed");
         }
     }
 
-    /// How each assigner's rollbacks stand, at the day's end: done, abandoned, and those not ended.
+    /// Sums up the rollbacks of all assigners that answer.
     pub(super) fn rollbacks(&self) -> Rollbacks {
-        let took_ms = self.rolled_back.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let took_ms = self.rollback_times_ms.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut sum = Rollbacks { took_ms, ..Rollbacks::default() };
         for slot in &self.assigners {
-            let Some(addr) = operators(&slot.operators()) else { continue };
+            let Some(addr) = operator_addr(&slot.operators_file()) else { continue };
             let Ok(Answer::Rollbacks(lines)) = whinhill_assigner::ask(addr, &Ask::Rollbacks, &self.drivers)
             else {
                 continue;
@@ -104,9 +106,9 @@
     }
 }
 
-/// Whether an assigner's rollbacks have all ended and no proxy is behind. One that is dead is not.
-fn rolled_back(path: &Path, drivers: &Drivers) -> bool {
-    let Some(addr) = operators(path) else { return false };
+/// Whether all rollbacks of an assigner have ended and no proxy is behind. False for an assigner that is down.
+fn all_rollbacks_done(path: &Path, drivers: &Drivers) -> bool {
+    let Some(addr) = operator_addr(path) else { return false };
     let ended = match whinhill_assigner::ask(addr, &Ask::Rollbacks, drivers) {
         Ok(Answer::Rollbacks(lines)) => lines.iter().all(|line| line.finished),
         _ => false,
@@ -118,7 +120,7 @@
         }
 }
 
-/// Where an assigner listens to operators, as it wrote it; `None` before it has.
-fn operators(path: &Path) -> Option<SocketAddr> {
+/// The address of an assigner's operator interface, as it wrote it to `path`; `None` before it has.
+fn operator_addr(path: &Path) -> Option<SocketAddr> {
     fs::read_to_string(path).unwrap_or_default().parse().ok()
 }
--- a/crates/whinhill-standins/src/play/servers.rs
+++ b/crates/whinhill-standins/src/play/servers.rs
@@ -1,4 +1,4 @@
-//! The servers of a day: started, put on the list, drained, replaced and made to fail.
+//! The servers of a day: started, listed in the roster, drained, replaced and made to fail.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 
 use super::error::io_at;
 use super::{loopback, ms, Fleet, PlayError};
-use crate::day::{Sabotage, Trouble};
-use crate::roster::entry;
+use crate::day::{FaultKind, Sabotage};
+use crate::roster::new_entry;
 use crate::server::{Server, ServerConfig};
 
-/// How long a server that holds on to writes on purpose does so, in seconds.
-const HOLDS_ON_S: f64 = 4.0;
+/// With [`Sabotage::ServerHoldsOn`]: how long a server goes on with a write that cannot be cancelled, in seconds.
+const UNCANCELLABLE_WRITE_S: f64 = 4.0;
 
-/// A place in the fleet, in which one server follows another.
+/// A position in the fleet. A server that is replaced is followed by another of the same zone and speed.
 pub(super) struct ServerSlot {
     pub(super) server: Option<Server>,
     pub(super) zone: String,
@@ -24,7 +24,7 @@
 }
 
 impl Fleet<'_> {
-    /// Makes a place for a server, in its zone and of its speed, and starts it there.
+    /// Adds a server, with its zone and a drawn speed, and starts it.
     pub(super) fn add_server(&mut self, number: usize) -> Result<(), PlayError> {
         let zone = self.day.zones[number % self.day.zones.len()].clone();
         let [low, high] = self.day.servers.speed;
@@ -47,26 +47,26 @@
             service: self.service.clone(),
             seed: self.rng.random(),
         };
-        let server = Server::start(config, &self.workers, &self.record).map_err(io_at("a server"))?;
+        let server = Server::start(config, &self.workers, &self.recorder).map_err(io_at("a server"))?;
         if self.day.sabotage.contains(&Sabotage::ServerHoldsOn) {
-            server.set_faults(|faults| faults.holds_on = HOLDS_ON_S);
+            server.set_faults(|faults| faults.uncancellable_write_s = UNCANCELLABLE_WRITE_S);
         }
         Ok(server)
     }
 
-    /// Puts servers on the list.
+    /// Adds servers to the roster.
     pub(super) fn list(&mut self, which: &[usize], started_now: bool) -> Result<(), PlayError> {
         let servers = &self.servers;
         let entries = which.iter().filter_map(|&number| {
             let slot = &servers[number];
             let addr: SocketAddr = slot.server.as_ref()?.name().parse().ok()?;
-            Some((addr, entry(addr, &slot.zone, slot.speed, started_now)))
+            Some((addr, new_entry(addr, &slot.zone, slot.speed, started_now)))
         });
         let entries: Vec<_> = entries.collect();
-        self.roster.change(|list| list.extend(entries)).map_err(io_at("the roster"))
+        self.roster.update(|list| list.extend(entries)).map_err(io_at("the roster"))
     }
 
-    /// Every slice begins the day at some server, in nobody's charge.
+    /// Writes a first owner of each slice into the store, with no assigner having custody.
     pub(super) fn store_first_owners(&mut self) {
         let names: Vec<Arc<str>> =
             self.servers.iter().filter_map(|s| Some(s.server.as_ref()?.name().clone())).collect();
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Marks servers as draining on the list.
+    /// Marks servers as draining in the roster.
     pub(super) fn drain(&mut self, which: &[usize]) -> Result<(), PlayError> {
         let addrs = self.addrs(which);
-        let changed = self.roster.change(|list| {
+        let changed = self.roster.update(|list| {
             for addr in &addrs {
                 list.entry(*addr).and_modify(|entry| entry.state = RosterState::Draining);
             }
@@ -89,14 +89,14 @@
         changed.map_err(io_at("the roster"))
     }
 
-    /// Takes servers off the list.
+    /// Removes servers from the roster.
     pub(super) fn unlist(&mut self, which: &[usize]) -> Result<(), PlayError> {
         let addrs = self.addrs(which);
-        let changed = self.roster.change(|list| addrs.iter().for_each(|addr| drop(list.remove(addr))));
+        let changed = self.roster.update(|list| addrs.iter().for_each(|addr| drop(list.remove(addr))));
         changed.map_err(io_at("the roster"))
     }
 
-    /// Ends servers and starts cold ones in their places.
+    /// Ends servers and starts cold ones in their positions.
     pub(super) fn replace(&mut self, which: &[usize]) -> Result<(), PlayError> {
         self.unlist(which)?;
         for &number in which {
@@ -111,17 +111,17 @@
         which.iter().filter_map(|&n| self.servers[n].server.as_ref()?.name().parse().ok()).collect()
     }
 
-    /// Lets servers fail as a trouble says, or serve well again.
-    pub(super) fn set_server_faults(&self, trouble: &Trouble, on: &[usize], begins: bool) {
-        let part = |value: f64| if begins { value } else { 0.0 };
+    /// Begins or ends a fault of servers.
+    pub(super) fn set_server_faults(&self, fault: &FaultKind, on: &[usize], begins: bool) {
+        let value_or_off = |value: f64| if begins { value } else { 0.0 };
         for server in on.iter().filter_map(|&number| self.servers[number].server.as_ref()) {
-            server.set_faults(|faults| match trouble {
-                Trouble::SlowServers { times, .. } => faults.slow = part(*times),
-                Trouble::SilentServers { .. } => faults.silent = begins,
-                Trouble::FailingServers { share, method, .. } => {
-                    (faults.errors, faults.errors_method) = (part(*share), *method);
+            server.set_faults(|faults| match fault {
+                FaultKind::SlowServers { times, .. } => faults.slowdown = value_or_off(*times),
+                FaultKind::SilentServers { .. } => faults.silent = begins,
+                FaultKind::FailingServers { share, method, .. } => {
+                    (faults.error_share, faults.error_method) = (value_or_off(*share), *method);
                 }
-                Trouble::AnswersLost { share, .. } => faults.answers_lost = part(*share),
+                FaultKind::AnswersLost { share, .. } => faults.lost_answer_share = value_or_off(*share),
                 _ => {}
             });
         }
--- a/crates/whinhill-standins/src/record.rs
+++ b/crates/whinhill-standins/src/record.rs
@@ -1,125 +1,76 @@
-//! What was seen to happen: at servers, at clients, in the store, at the roster, at links.
+//! The recorder of events at servers, clients, links, the store and the roster.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Events kept of one day; one that holds more is too long to audit, and says so.
-const MOST: usize = 8_000_000;
+/// Most events kept of a day. A day with more can't be audited, and its outcome is marked incomplete.
+const MAX_EVENTS: usize = 8_000_000;
 
+/// An observed event.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
-    /// A server process began to serve, cold or warm, with that much work a second when warm.
-    Started {
-        server: Arc<str>,
-        cold: bool,
-        capacity: f64,
-    },
-    /// An RPC arrived at a server.
-    Arrived {
-        server: Arc<str>,
-        rpc: u64,
-        slice: usize,
-        write: bool,
-        proxy: Arc<str>,
-        work: f64,
-    },
-    /// Its execution began, and ended, there.
-    Began {
-        server: Arc<str>,
-        rpc: u64,
-        slice: usize,
-        write: bool,
-        once: bool,
-    },
-    Ended {
-        server: Arc<str>,
-        rpc: u64,
-        slice: usize,
-        write: bool,
-    },
-    /// The roster says so from now on; `None`: gone.
-    Listed {
-        server: Arc<str>,
-        state: Option<whinhill_assigner::RosterState>,
-    },
-    /// The store took a record of a slice.
-    Stored {
-        slice: usize,
-        epoch: u64,
-        holder: Option<String>,
-        owner: Option<Arc<str>>,
-    },
-    /// A client got its final answer, through a proxy.
-    Answered {
-        rpc: u64,
-        proxy: Arc<str>,
-        slice: usize,
-        ok: bool,
-        in_time: bool,
-        no_line: bool,
-    },
-    /// A link between a proxy and an assigner was cut, or carries again; a connection was made through it, or ended.
-    Cut {
-        proxy: Arc<str>,
-        assigner: Arc<str>,
-        cut: bool,
-    },
-    /// A link between a proxy and a server carries badly, or well again.
-    Hampered {
-        proxy: Arc<str>,
-        server: Arc<str>,
-        hampered: bool,
-    },
-    Connected {
-        proxy: Arc<str>,
-        assigner: Arc<str>,
-        stands: bool,
-    },
-    /// An assigner's process was stopped or stood still, or runs again.
-    Runs {
-        assigner: Arc<str>,
-        runs: bool,
-    },
-    ProxyRuns {
-        proxy: Arc<str>,
-        runs: bool,
-    },
+pub enum Event {
+    /// A server started to serve. `capacity` is the work, in core-seconds, that it does in a second when warm.
+    ServerStarted { server: Arc<str>, cold: bool, capacity: f64 },
+    /// An RPC arrived at a server. `work` is its method's mean work, in core-seconds.
+    RpcArrived { server: Arc<str>, rpc: u64, slice: usize, write: bool, proxy: Arc<str>, work: f64 },
+    /// A server started to execute an RPC. `once`: it must not be executed twice.
+    ExecutionStarted { server: Arc<str>, rpc: u64, slice: usize, write: bool, once: bool },
+    /// A server finished the execution of an RPC, or gave it up.
+    ExecutionEnded { server: Arc<str>, rpc: u64, slice: usize, write: bool },
+    /// The roster lists a server in this state from now on; `None`: no longer.
+    ServerListed { server: Arc<str>, state: Option<whinhill_assigner::RosterState> },
+    /// A slice's record was written into the store. `holder` is the assigner that has custody.
+    RecordStored { slice: usize, epoch: u64, holder: Option<String>, owner: Option<Arc<str>> },
+    /// A client got its final answer from a proxy. `no_line`: the proxy had no line for the slice.
+    RpcAnswered { rpc: u64, proxy: Arc<str>, slice: usize, ok: bool, in_time: bool, no_line: bool },
+    /// A lasting fault of the link between a proxy and an assigner began or ended.
+    AssignerLinkCut { proxy: Arc<str>, assigner: Arc<str>, cut: bool },
+    /// A lasting fault of the link between a proxy and a server began or ended.
+    ServerLinkImpaired { proxy: Arc<str>, server: Arc<str>, impaired: bool },
+    /// A connection between a proxy and an assigner was opened or ended.
+    AssignerConnection { proxy: Arc<str>, assigner: Arc<str>, up: bool },
+    /// An assigner's process was killed or stalled, or runs again.
+    AssignerRunning { assigner: Arc<str>, running: bool },
+    /// A proxy was killed, or runs again.
+    ProxyRunning { proxy: Arc<str>, running: bool },
 }
 
-/// The record of a day, on one clock.
+/// Records the events of a day on one clock. Clones share the record.
 #[derive(Clone)]
 pub struct Recorder(Arc<Inner>);
 
 struct Inner {
     start: Instant,
-    seen: Mutex<(Vec<(Duration, Seen)>, bool)>,
+    /// The events, and whether some were left out.
+    events: Mutex<(Vec<(Duration, Event)>, bool)>,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
-        Recorder(Arc::new(Inner { start: Instant::now(), seen: Mutex::default() }))
+        Recorder(Arc::new(Inner { start: Instant::now(), events: Mutex::default() }))
     }
 }
 
 impl Recorder {
+    /// The time since the recorder was created.
     pub fn now(&self) -> Duration {
         self.0.start.elapsed()
     }
 
-    /// Notes what happened just now. The time is taken under the lock, so the record is in order.
-    pub fn note(&self, what: Seen) {
-        let mut seen = self.0.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        if seen.0.len() >= MOST {
-            seen.1 = true;
+    /// Records an event of this moment. The time is taken under the lock, so events are in order of time.
+    pub fn add(&self, event: Event) {
+        let mut events = self.0.events.lock().unwrap_or_else(PoisonError::into_inner);
+        if events.0.len() >= MAX_EVENTS {
+            events.1 = true;
             return;
         }
         let at = self.now();
-        seen.0.push((at, what));
+        events.0.push((at, event));
     }
 
-    /// All of it so far, and whether something was left out.
-    pub fn seen(&self) -> (Vec<(Duration, Seen)>, bool) {
-        let seen = self.0.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        (seen.0.clone(), seen.1)
+    /// All events so far, and whether some were left out for lack of space.
+    pub fn events(&self) -> (Vec<(Duration, Event)>, bool) {
+        let events = self.0.events.lock().unwrap_or_else(PoisonError::into_inner);
+        (events.0.clone(), events.1)
     }
 }
--- a/crates/whinhill-standins/src/roster.rs
+++ b/crates/whinhill-standins/src/roster.rs
@@ -1,4 +1,4 @@
-//! The roster: the list of servers, published as a JSON5 file and, to whoever subscribes, as one EDS resource.
+//! The roster stand-in: publishes the list of servers as a JSON5 file and as one EDS resource.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,19 +16,19 @@
 use whinhill_xds::proto::{self, metadata, number};
 use whinhill_xds::{Cache, Entry, Kind, Request, ServerStream, Variant};
 
-use crate::record::{Recorder, Seen};
+use crate::record::{Event, Recorder};
 
-/// The name under which the fleet is served.
-pub const RESOURCE: &str = "fleet";
+/// The name of the EDS resource that lists the fleet's servers.
+pub const EDS_RESOURCE: &str = "fleet";
 
-/// Serves the list by ADS, incremental: an upstream control plane as small as can be.
-struct Upstream {
+/// A minimal upstream control plane: serves the list over ADS, in the incremental variant only.
+struct EdsServer {
     cache: RwLock<Cache>,
     version: std::sync::atomic::AtomicU64,
     down: AtomicBool,
 }
 
-impl Upstream {
+impl EdsServer {
     fn publish(&self, roster: &RosterFile) {
         let line = |entry: &RosterEntry| proto::LocalityLbEndpoints {
             locality: Some(proto::Locality { zone: entry.zone.clone(), ..Default::default() }),
@@ -49,17 +49,17 @@
         };
         let endpoints = roster.servers.iter().map(line).collect();
         let assignment =
-            proto::ClusterLoadAssignment { cluster_name: RESOURCE.to_string(), endpoints, policy: None };
+            proto::ClusterLoadAssignment { cluster_name: EDS_RESOURCE.to_string(), endpoints, policy: None };
         let version = self.version.fetch_add(1, Ordering::Relaxed).to_string().into();
         let entry = Entry { version, body: assignment.encode_to_vec().into(), ttl: None };
-        self.cache.write().unwrap_or_else(PoisonError::into_inner).set(Kind::Endpoints, RESOURCE, entry);
+        self.cache.write().unwrap_or_else(PoisonError::into_inner).set(Kind::Endpoints, EDS_RESOURCE, entry);
     }
 
     fn serve(&self, call: ServerCall) -> Result<(), CallError> {
-        let within = Duration::from_secs(2);
+        let send_timeout = Duration::from_secs(2);
         let (mut reader, mut writer) = call.open()?;
         let mut stream = ServerStream::new(Variant::Incremental, &[]);
-        let mut told = 0;
+        let mut sent_revision = 0;
         while !self.down.load(Ordering::Relaxed) {
             match reader.recv(Duration::from_millis(20)) {
                 Err(CallError::Deadline(_)) => {}
@@ -74,44 +74,45 @@
             }
             let replies: Vec<Vec<u8>> = {
                 let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
-                if std::mem::replace(&mut told, cache.revision()) != cache.revision() {
-                    stream.changed(Kind::Endpoints, &RESOURCE.into());
+                if std::mem::replace(&mut sent_revision, cache.revision()) != cache.revision() {
+                    stream.changed(Kind::Endpoints, &EDS_RESOURCE.into());
                 }
                 std::iter::from_fn(|| stream.next(&cache)).map(|reply| reply.encode()).collect()
             };
-            replies.iter().try_for_each(|reply| writer.send(reply, within))?;
+            replies.iter().try_for_each(|reply| writer.send(reply, send_timeout))?;
         }
-        writer.close(Code::Unavailable, "the roster is away", Trailers::new())
+        writer.close(Code::Unavailable, "the roster is down", Trailers::new())
     }
 }
 
+/// A roster with its file and, if it listens, its EDS server.
 pub struct RosterStandIn {
-    upstream: Arc<Upstream>,
+    eds: Arc<EdsServer>,
     listener: Option<Listener>,
     path: PathBuf,
     servers: Mutex<BTreeMap<SocketAddr, RosterEntry>>,
-    record: Recorder,
+    recorder: Recorder,
 }
 
 impl RosterStandIn {
-    pub fn new(path: &Path, record: &Recorder) -> Self {
-        let upstream = Upstream { cache: RwLock::default(), version: 1.into(), down: AtomicBool::new(false) };
+    /// An empty roster that will write its file to `path`.
+    pub fn new(path: &Path, recorder: &Recorder) -> Self {
+        let eds = EdsServer { cache: RwLock::default(), version: 1.into(), down: AtomicBool::new(false) };
         RosterStandIn {
-            upstream: Arc::new(upstream),
+            eds: Arc::new(eds),
             listener: None,
             path: path.to_path_buf(),
             servers: Mutex::default(),
-            record: record.clone(),
+            recorder: recorder.clone(),
         }
     }
 
-    /// Serves the list by xDS too, from now on.
+    /// Serves the list over xDS too, from now on. Returns the address.
     pub fn listen(&mut self, drivers: &Drivers, workers: &Workers) -> io::Result<SocketAddr> {
-        let (upstream, workers) = (self.upstream.clone(), workers.clone());
+        let (eds, workers) = (self.eds.clone(), workers.clone());
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = Listener::start("roster", any, Limits::default(), drivers, move |call| {
-            if Variant::of_path(call.path()) != Some(Variant::Incremental)
-                || upstream.down.load(Ordering::Relaxed)
+            if Variant::of_path(call.path()) != Some(Variant::Incremental) || eds.down.load(Ordering::Relaxed)
             {
                 return call.refuse(
                     Code::Unavailable,
@@ -119,58 +120,59 @@
                     Trailers::new(),
                 );
             }
-            let upstream = upstream.clone();
-            // Without a thread the call is dropped, and with it reset.
-            let _ = workers.run(move || drop(upstream.serve(call)));
+            let eds = eds.clone();
+            // If no thread is free, the call is dropped and thereby reset.
+            let _ = workers.run(move || drop(eds.serve(call)));
         })?;
         let addr = listener.addr();
         self.listener = Some(listener);
         Ok(addr)
     }
 
-    /// Ends all streams and refuses new ones, or serves again.
+    /// Ends all EDS streams and refuses new ones, or serves again.
     pub fn set_down(&self, down: bool) {
-        self.upstream.down.store(down, Ordering::Relaxed);
+        self.eds.down.store(down, Ordering::Relaxed);
     }
 
+    /// The path of the roster's file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Changes the list and publishes it whole.
-    pub fn change(&self, act: impl FnOnce(&mut BTreeMap<SocketAddr, RosterEntry>)) -> io::Result<()> {
+    /// Changes the list and publishes all of it.
+    pub fn update(&self, act: impl FnOnce(&mut BTreeMap<SocketAddr, RosterEntry>)) -> io::Result<()> {
         let mut servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
         let before = servers.clone();
         act(&mut servers);
         let file = RosterFile { servers: servers.values().cloned().collect() };
         let text = serde_json::to_string(&file)?;
-        let beside = self.path.with_extension("new");
-        fs::write(&beside, text)?;
+        let temporary = self.path.with_extension("new");
+        fs::write(&temporary, text)?;
         for addr in before.keys().chain(servers.keys()) {
             let state = |list: &BTreeMap<SocketAddr, RosterEntry>| list.get(addr).map(|entry| entry.state);
             if state(&before) != state(&servers) {
                 let server: Arc<str> = addr.to_string().into();
-                self.record.note(Seen::Listed { server, state: state(&servers) });
+                self.recorder.add(Event::ServerListed { server, state: state(&servers) });
             }
         }
-        self.upstream.publish(&file);
-        fs::rename(beside, &self.path)
+        self.eds.publish(&file);
+        fs::rename(temporary, &self.path)
     }
 
-    /// Leaves a file cut in half where the list should be, as a writer that died would.
-    pub fn write_half(&self) -> io::Result<()> {
+    /// Replaces the file by its first half, as a writer that died would leave it.
+    pub fn write_truncated(&self) -> io::Result<()> {
         let text = fs::read_to_string(&self.path)?;
         fs::write(&self.path, &text[..text.len() / 2])
     }
 
-    /// Writes what is true again.
-    pub fn mend(&self) -> io::Result<()> {
-        self.change(|_| {})
+    /// Writes the complete file again.
+    pub fn republish(&self) -> io::Result<()> {
+        self.update(|_| {})
     }
 }
 
-/// An entry as the roster would write it now.
-pub fn entry(addr: SocketAddr, zone: &str, size: f64, started_now: bool) -> RosterEntry {
+/// A roster entry for a ready server. `started_now` sets its start time to the present.
+pub fn new_entry(addr: SocketAddr, zone: &str, size: f64, started_now: bool) -> RosterEntry {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64);
     let started_unix_ms = started_now.then_some(now);
     RosterEntry { addr, zone: zone.to_string(), state: RosterState::Ready, size, started_unix_ms }
--- a/crates/whinhill-standins/src/server.rs
+++ b/crates/whinhill-standins/src/server.rs
@@ -1,4 +1,5 @@
-//! A server of the service: cores, a queue, warming up, and faults. It writes down each execution begun and ended.
+//! The stand-in for a server of the service: cores, a queue, a warm-up and faults. It records the start and the end of
+//! each execution.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,32 +18,40 @@
 use whinhill_xds::proto::{HealthCheckResponse, OrcaLoadReport};
 use whinhill_xds::{base64, HEALTH_PATH, ORCA_TRAILER};
 
-use crate::record::{Recorder, Seen};
+use crate::record::{Event, Recorder};
 
+/// The current faults of a server.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Times slower; 0 counts as 1.
-    pub slow: f64,
-    /// Takes RPCs and answers none.
+    /// The factor by which work takes longer; values below 1 count as 1.
+    pub slowdown: f64,
+    /// Accepts RPCs and answers none.
     pub silent: bool,
-    /// The share of RPCs that fail at once, of one method or of all.
-    pub errors: f64,
-    pub errors_method: Option<usize>,
-    /// The share of answers that are lost after the work was done.
-    pub answers_lost: f64,
-    /// Seconds for which one write in twenty goes on, whoever gives it up: for rehearsals.
-    pub holds_on: f64,
+    /// The share of RPCs that fail at once.
+    pub error_share: f64,
+    /// The method whose RPCs fail; `None`: all methods.
+    pub error_method: Option<usize>,
+    /// The share of answers that are lost after the work is done.
+    pub lost_answer_share: f64,
+    /// Seconds for which one write in twenty goes on after its work, cancelled or not, without an answer. Used to
+    /// rehearse the audit.
+    pub uncancellable_write_s: f64,
 }
 
+/// The configuration of a server.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
     pub listen: SocketAddr,
     pub cores: usize,
     /// Work in core-seconds that a core does in a second.
     pub speed: f64,
+    /// Whether it starts cold.
     pub cold: bool,
+    /// The share of its full capacity that it has when it starts cold.
     pub cold_from: f64,
+    /// How long it then takes to reach its full capacity.
     pub warm_after: Duration,
+    /// Most RPCs that wait for a core.
     pub queue_most: usize,
     /// Mean work of each method, in core-seconds.
     pub work: Vec<f64>,
@@ -51,8 +60,10 @@
 }
 
 struct State {
+    /// RPCs that are executed.
     busy: usize,
-    waiting: usize,
+    /// RPCs that wait for a core.
+    queued: usize,
     rng: ChaCha8Rng,
     faults: Faults,
 }
@@ -62,12 +73,13 @@
     config: ServerConfig,
     started: Instant,
     state: Mutex<State>,
-    freed: Condvar,
-    record: Recorder,
+    /// Notified when a core becomes free.
+    core_freed: Condvar,
+    recorder: Recorder,
     served: AtomicU64,
 }
 
-/// A running server. Dropping it ends it at once: connections break, work is lost.
+/// A running server. Dropping it ends it at once: its connections break and unfinished work is lost.
 pub struct Server {
     inner: Arc<Inner>,
     _listener: Listener,
@@ -75,42 +87,46 @@
 }
 
 impl Server {
-    pub fn start(config: ServerConfig, workers: &Workers, record: &Recorder) -> io::Result<Self> {
-        // A driver of its own: when it is dropped its connections end with it, as with a process.
+    /// Starts a server that serves RPCs on the threads of `workers`.
+    pub fn start(config: ServerConfig, workers: &Workers, recorder: &Recorder) -> io::Result<Self> {
+        // The server has its own driver, so that dropping the server ends its connections, as the end of a process would.
         let drivers = Drivers::start("server", 1)?;
-        let cell: Arc<std::sync::OnceLock<Arc<Inner>>> = Arc::default();
-        let (later, pool) = (cell.clone(), workers.clone());
+        let inner_cell: Arc<std::sync::OnceLock<Arc<Inner>>> = Arc::default();
+        let (cell_for_calls, pool) = (inner_cell.clone(), workers.clone());
         let limits = Limits { connections_most: 1024, idle: Duration::from_secs(30), ..Limits::default() };
         let listener = Listener::start("server", config.listen, limits, &drivers, move |call| {
-            let Some(inner) = later.get().cloned() else { return call.refuse_unseen() };
+            let Some(inner) = cell_for_calls.get().cloned() else { return call.refuse_unseen() };
             pool.hand(call, move |call| inner.serve(call), ServerCall::refuse_unseen);
         })?;
         let name: Arc<str> = listener.addr().to_string().into();
         let rng = ChaCha8Rng::seed_from_u64(config.seed);
         let capacity = config.cores as f64 * config.speed;
-        record.note(Seen::Started { server: name.clone(), cold: config.cold, capacity });
-        let state = State { busy: 0, waiting: 0, rng, faults: Faults::default() };
+        recorder.add(Event::ServerStarted { server: name.clone(), cold: config.cold, capacity });
+        let state = State { busy: 0, queued: 0, rng, faults: Faults::default() };
         let inner = Arc::new(Inner {
             name,
             config,
             started: Instant::now(),
             state: Mutex::new(state),
-            freed: Condvar::new(),
-            record: record.clone(),
+            core_freed: Condvar::new(),
+            recorder: recorder.clone(),
             served: AtomicU64::new(0),
         });
-        let _ = cell.set(inner.clone());
+        let _ = inner_cell.set(inner.clone());
         Ok(Server { inner, _listener: listener, _drivers: drivers })
     }
 
+    /// Its name: the address at which it listens.
     pub fn name(&self) -> &Arc<str> {
         &self.inner.name
     }
 
+    /// The number of RPCs that it has answered.
     pub fn served(&self) -> u64 {
         self.inner.served.load(Ordering::Relaxed)
     }
 
+    /// Changes its faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.inner.state().faults);
     }
@@ -121,8 +137,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The part of its full capacity that it has now.
-    fn ramp(&self) -> f64 {
+    /// The share of its full capacity that it has now.
+    fn capacity_share(&self) -> f64 {
         if !self.config.cold {
             return 1.0;
         }
@@ -130,13 +146,14 @@
         (self.config.cold_from + (1.0 - self.config.cold_from) * age).min(1.0)
     }
 
-    fn load(&self) -> Trailers {
+    /// Trailers with the server's current load, as an ORCA report.
+    fn load_report(&self) -> Trailers {
         let state = self.state();
-        let named = [("in_hand", (state.busy + state.waiting) as f64), ("queue", state.waiting as f64)];
+        let metrics = [("in_hand", (state.busy + state.queued) as f64), ("queue", state.queued as f64)];
         let cpu = state.busy as f64 / self.config.cores.max(1) as f64;
         drop(state);
-        let named: HashMap<String, f64> = named.into_iter().map(|(k, v)| (k.to_string(), v)).collect();
-        let report = OrcaLoadReport { cpu_utilization: cpu, named_metrics: named };
+        let metrics: HashMap<String, f64> = metrics.into_iter().map(|(k, v)| (k.to_string(), v)).collect();
+        let report = OrcaLoadReport { cpu_utilization: cpu, named_metrics: metrics };
         let mut trailers = Trailers::new();
         if let Ok(value) = HeaderValue::from_str(&base64(&report.encode_to_vec())) {
             trailers.insert(ORCA_TRAILER, value);
@@ -145,13 +162,13 @@
     }
 
     fn serve(&self, mut call: ServerCall) {
-        let within = Duration::from_secs(2);
+        let timeout = Duration::from_secs(2);
         if call.path() == HEALTH_PATH {
             if self.state().faults.silent {
-                return self.hold(call);
+                return self.hold_until_cancelled(call);
             }
             let answer = HealthCheckResponse { status: 1 }.encode_to_vec();
-            let _ = call.answer(&answer, self.load(), within);
+            let _ = call.answer(&answer, self.load_report(), timeout);
             return;
         }
         let Some(method) = self.config.service.methods.iter().position(|m| m.path == call.path()) else {
@@ -163,88 +180,89 @@
         };
         let slice = slice as usize;
         let proxy: Arc<str> = call.header("whinhill-proxy").unwrap_or("?").into();
-        let about = &self.config.service.methods[method];
-        let (write, once) = (about.writes, about.effect == Effect::NonIdempotent);
-        let mean = self.config.work[method];
-        let (work, faults, fails, loses) = {
+        let method_spec = &self.config.service.methods[method];
+        let (write, once) = (method_spec.writes, method_spec.effect == Effect::NonIdempotent);
+        let mean_work = self.config.work[method];
+        let (work, faults, fails, loses_answer) = {
             let mut state = self.state();
             let faults = state.faults.clone();
-            let work = mean * state.rng.random_range(0.5..1.5);
-            let concerned = faults.errors_method.is_none_or(|m| m == method);
-            let fails = concerned && state.rng.random_bool(faults.errors.clamp(0.0, 1.0));
-            let loses = state.rng.random_bool(faults.answers_lost.clamp(0.0, 1.0));
-            (work, faults, fails, loses)
+            let work = mean_work * state.rng.random_range(0.5..1.5);
+            let affects_method = faults.error_method.is_none_or(|m| m == method);
+            let fails = affects_method && state.rng.random_bool(faults.error_share.clamp(0.0, 1.0));
+            let loses_answer = state.rng.random_bool(faults.lost_answer_share.clamp(0.0, 1.0));
+            (work, faults, fails, loses_answer)
         };
         let server = self.name.clone();
-        self.record.note(Seen::Arrived { server, rpc, slice, write, proxy, work: mean });
+        self.recorder.add(Event::RpcArrived { server, rpc, slice, write, proxy, work: mean_work });
         if faults.silent {
-            return self.hold(call);
+            return self.hold_until_cancelled(call);
         }
         if fails {
             return call.refuse(Code::Internal, "a fault put in", Trailers::new());
         }
-        let Ok(message) = call.message(within) else { return };
-        if !self.enter(&mut call) {
+        let Ok(message) = call.message(timeout) else { return };
+        if !self.acquire_core(&mut call) {
             return;
         }
-        self.record.note(Seen::Began { server: self.name.clone(), rpc, slice, write, once });
-        let slow = faults.slow.max(1.0);
-        let mut done = self.work(&mut call, work, slow);
-        if write && faults.holds_on > 0.0 && self.state().rng.random_bool(0.05) {
-            thread::sleep(Duration::from_secs_f64(faults.holds_on));
-            done = false;
+        self.recorder.add(Event::ExecutionStarted { server: self.name.clone(), rpc, slice, write, once });
+        let slowdown = faults.slowdown.max(1.0);
+        let mut completed = self.execute(&mut call, work, slowdown);
+        if write && faults.uncancellable_write_s > 0.0 && self.state().rng.random_bool(0.05) {
+            thread::sleep(Duration::from_secs_f64(faults.uncancellable_write_s));
+            completed = false;
         }
-        // The end is written down before the core is free and the answer leaves.
-        self.record.note(Seen::Ended { server: self.name.clone(), rpc, slice, write });
+        // The end is recorded before the core becomes free and the answer is sent, so that no later write seems to
+        // overlap this one.
+        self.recorder.add(Event::ExecutionEnded { server: self.name.clone(), rpc, slice, write });
         self.state().busy -= 1;
-        self.freed.notify_one();
-        if done && !loses {
+        self.core_freed.notify_one();
+        if completed && !loses_answer {
             self.served.fetch_add(1, Ordering::Relaxed);
-            let _ = call.answer(&message, self.load(), within);
-        } else if loses {
-            self.hold(call);
+            let _ = call.answer(&message, self.load_report(), timeout);
+        } else if loses_answer {
+            self.hold_until_cancelled(call);
         }
     }
 
-    /// Keeps a call until its client gives it up.
-    fn hold(&self, mut call: ServerCall) {
+    /// Keeps a call open, without an answer, until its client cancels it; at most 20 seconds.
+    fn hold_until_cancelled(&self, mut call: ServerCall) {
         let until = Instant::now() + Duration::from_secs(20);
         while !call.cancelled() && Instant::now() < until {
             thread::park_timeout(Duration::from_millis(20));
         }
     }
 
-    /// Waits for a core. False if the queue is full, or the client has given up.
-    fn enter(&self, call: &mut ServerCall) -> bool {
+    /// Waits for a core. False if the queue is full or the client has cancelled the call.
+    fn acquire_core(&self, call: &mut ServerCall) -> bool {
         let mut state = self.state();
-        if state.waiting >= self.config.queue_most {
+        if state.queued >= self.config.queue_most {
             drop(state);
             return false;
         }
-        state.waiting += 1;
+        state.queued += 1;
         while state.busy >= self.config.cores {
-            let waited = self.freed.wait_timeout(state, Duration::from_millis(10));
+            let waited = self.core_freed.wait_timeout(state, Duration::from_millis(10));
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
             if state.busy >= self.config.cores {
                 drop(state);
-                let gone = call.cancelled();
+                let cancelled = call.cancelled();
                 state = self.state();
-                if gone {
-                    state.waiting -= 1;
+                if cancelled {
+                    state.queued -= 1;
                     return false;
                 }
             }
         }
-        state.waiting -= 1;
+        state.queued -= 1;
         state.busy += 1;
         true
     }
 
-    /// Works it off; a slice of time at a time, at the speed of the moment. False if it was cancelled on the way.
-    fn work(&self, call: &mut ServerCall, work: f64, slow: f64) -> bool {
+    /// Executes the work of a call in steps of at most 10 ms, each at the current speed. False if the call was cancelled.
+    fn execute(&self, call: &mut ServerCall, work: f64, slowdown: f64) -> bool {
         let mut left = work;
         while left > 0.0 {
-            let speed = self.config.speed * self.ramp() / slow;
+            let speed = self.config.speed * self.capacity_share() / slowdown;
             let step = (left / speed).min(0.01);
             let until = Instant::now() + Duration::from_secs_f64(step);
             while let Some(rest) = until.checked_duration_since(Instant::now()).filter(|rest| !rest.is_zero())
--- a/crates/whinhill-standins/src/store.rs
+++ b/crates/whinhill-standins/src/store.rs
@@ -1,4 +1,5 @@
-//! The store: strings, expiry, WATCH and MULTI over RESP2, as the public command pages describe them.
+//! The stand-in for the store: strings, expiry, WATCH and MULTI over RESP2, after the public descriptions of the
+//! commands.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Read, Write};
@@ -14,29 +15,34 @@
 use redis_protocol::resp2::types::BytesFrame as Frame;
 use whinhill_store::Record;
 
-use crate::record::{Recorder, Seen};
+use crate::record::{Event, Recorder};
 
 #[derive(Default)]
 struct Data {
+    /// The value of each key, with the time at which it expires.
     values: HashMap<String, (Bytes, Option<Instant>)>,
-    /// Raised by every change of a key, for WATCH.
+    /// The number of the last change of each key, for WATCH.
     versions: HashMap<String, u64>,
-    changes: u64,
+    /// Changes of all keys so far.
+    change_count: u64,
 }
 
 impl Data {
     fn get(&mut self, key: &str) -> Option<Bytes> {
-        let ended = self.values.get(key).is_some_and(|(_, ends)| ends.is_some_and(|at| Instant::now() >= at));
-        if ended {
+        let expired = self
+            .values
+            .get(key)
+            .is_some_and(|(_, expires_at)| expires_at.is_some_and(|at| Instant::now() >= at));
+        if expired {
             self.values.remove(key);
-            self.touch(key);
+            self.mark_changed(key);
         }
         self.values.get(key).map(|(value, _)| value.clone())
     }
 
-    fn touch(&mut self, key: &str) {
-        self.changes += 1;
-        self.versions.insert(key.to_string(), self.changes);
+    fn mark_changed(&mut self, key: &str) {
+        self.change_count += 1;
+        self.versions.insert(key.to_string(), self.change_count);
     }
 
     fn version(&mut self, key: &str) -> u64 {
@@ -50,16 +56,18 @@
     down: AtomicBool,
     stop: AtomicBool,
     connections: Mutex<Vec<TcpStream>>,
-    record: Recorder,
+    recorder: Recorder,
 }
 
+/// A running store. Dropping it breaks its connections.
 pub struct StoreStandIn {
     addr: SocketAddr,
     inner: Arc<Inner>,
 }
 
 impl StoreStandIn {
-    pub fn start(addr: SocketAddr, record: &Recorder) -> io::Result<Self> {
+    /// Starts a store that listens at `addr`. Writes of slice records are recorded as events.
+    pub fn start(addr: SocketAddr, recorder: &Recorder) -> io::Result<Self> {
         let listener = TcpListener::bind(addr)?;
         let addr = listener.local_addr()?;
         let inner = Arc::new(Inner {
@@ -67,29 +75,30 @@
             down: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             connections: Mutex::default(),
-            record: record.clone(),
+            recorder: recorder.clone(),
         });
-        let held = inner.clone();
+        let accepting = inner.clone();
         thread::Builder::new().name("store".into()).stack_size(64 << 10).spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if held.stop.load(Ordering::Relaxed) {
+                if accepting.stop.load(Ordering::Relaxed) {
                     return;
                 }
-                if held.down.load(Ordering::Relaxed) {
+                if accepting.down.load(Ordering::Relaxed) {
                     continue;
                 }
                 if let Ok(copy) = stream.try_clone() {
-                    held.connections.lock().unwrap_or_else(PoisonError::into_inner).push(copy);
+                    accepting.connections.lock().unwrap_or_else(PoisonError::into_inner).push(copy);
                 }
-                let inner = held.clone();
+                let inner = accepting.clone();
                 let thread = thread::Builder::new().name("store-conn".into()).stack_size(256 << 10);
-                // Without a thread the connection closes, as with a store that is full.
+                // If no thread can be started, the connection closes, as with a store at its limit of connections.
                 let _ = thread.spawn(move || drop(inner.serve(stream)));
             }
         })?;
         Ok(StoreStandIn { addr, inner })
     }
 
+    /// The address at which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -102,11 +111,12 @@
         }
     }
 
+    /// Sets a key that doesn't expire.
     pub fn put(&self, key: &str, value: &str) {
         let mut data = self.inner.data();
         data.values.insert(key.to_string(), (Bytes::copy_from_slice(value.as_bytes()), None));
-        data.touch(key);
-        self.inner.note(key, value);
+        data.mark_changed(key);
+        self.inner.record_change(key, value);
     }
 }
 
@@ -118,7 +128,7 @@
     }
 }
 
-fn simple(text: &'static str) -> Frame {
+fn simple_string(text: &'static str) -> Frame {
     Frame::SimpleString(Bytes::from_static(text.as_bytes()))
 }
 
@@ -137,69 +147,70 @@
         }
     }
 
-    /// Writes down what the store took of a slice: what the auditor knows of owners and custody.
-    fn note(&self, key: &str, value: &str) {
+    /// Records the write of a slice's record. From these events the auditor knows owners and custody.
+    fn record_change(&self, key: &str, value: &str) {
         let slice = key.rsplit_once("/slice/").and_then(|(_, slice)| slice.parse().ok());
         if let (Some(slice), Ok(record)) = (slice, value.parse::<Record>()) {
             let holder = record.holder.map(|holder| holder.name);
             let owner = record.owner.map(Into::into);
-            self.record.note(Seen::Stored { slice, epoch: record.epoch, holder, owner });
+            self.recorder.add(Event::RecordStored { slice, epoch: record.epoch, holder, owner });
         }
     }
 
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let (mut held, mut out) = (BytesMut::new(), BytesMut::new());
+        let (mut buffer, mut out) = (BytesMut::new(), BytesMut::new());
         let mut chunk = [0; 16 << 10];
         let mut watched: BTreeMap<String, u64> = BTreeMap::new();
-        let mut queued: Option<Vec<Vec<String>>> = None;
+        let mut transaction: Option<Vec<Vec<String>>> = None;
         loop {
             while let Some((frame, _, _)) =
-                decode_bytes_mut(&mut held).map_err(|e| io::Error::other(e.to_string()))?
+                decode_bytes_mut(&mut buffer).map_err(|e| io::Error::other(e.to_string()))?
             {
-                let words = words(&frame).unwrap_or_default();
-                let answer = self.command(&words, &mut watched, &mut queued);
+                let words = command_words(&frame).unwrap_or_default();
+                let answer = self.handle_command(&words, &mut watched, &mut transaction);
                 extend_encode(&mut out, &answer, false).map_err(|e| io::Error::other(e.to_string()))?;
             }
             stream.write_all(&out)?;
             out.clear();
             match stream.read(&mut chunk)? {
                 0 => return Ok(()),
-                count => held.extend_from_slice(&chunk[..count]),
+                count => buffer.extend_from_slice(&chunk[..count]),
             }
         }
     }
 
-    fn command(
+    /// Handles one command of a connection, whose watched keys and open transaction are given.
+    fn handle_command(
         &self,
         words: &[String],
         watched: &mut BTreeMap<String, u64>,
-        queued: &mut Option<Vec<Vec<String>>>,
+        transaction: &mut Option<Vec<Vec<String>>>,
     ) -> Frame {
-        let Some((verb, args)) = words.split_first() else { return error("ERR an empty command".into()) };
-        match (verb.to_ascii_uppercase().as_str(), queued.is_some()) {
+        let Some((command, args)) = words.split_first() else { return error("ERR an empty command".into()) };
+        match (command.to_ascii_uppercase().as_str(), transaction.is_some()) {
             ("MULTI", false) => {
-                *queued = Some(Vec::new());
-                simple("OK")
+                *transaction = Some(Vec::new());
+                simple_string("OK")
             }
             ("DISCARD", true) => {
-                *queued = None;
+                *transaction = None;
                 watched.clear();
-                simple("OK")
+                simple_string("OK")
             }
             ("EXEC", true) => {
-                let commands = queued.take().unwrap_or_default();
+                let commands = transaction.take().unwrap_or_default();
                 let mut data = self.data();
-                let same =
+                let unchanged =
                     std::mem::take(watched).into_iter().all(|(key, version)| data.version(&key) == version);
-                if !same {
+                if !unchanged {
                     return Frame::Null;
                 }
-                Frame::Array(commands.iter().map(|words| self.plain(words, &mut data)).collect())
+                Frame::Array(commands.iter().map(|words| self.execute(words, &mut data)).collect())
             }
             (_, true) => {
-                queued.get_or_insert_default().push(words.to_vec());
-                simple("QUEUED")
+                transaction.get_or_insert_default().push(words.to_vec());
+                simple_string("QUEUED")
             }
             ("WATCH", false) => {
                 let mut data = self.data();
@@ -207,58 +218,62 @@
                     let version = data.version(key);
                     watched.insert(key.clone(), version);
                 }
-                simple("OK")
+                simple_string("OK")
             }
             ("UNWATCH", false) => {
                 watched.clear();
-                simple("OK")
+                simple_string("OK")
             }
-            _ => self.plain(words, &mut self.data()),
+            _ => self.execute(words, &mut self.data()),
         }
     }
 
-    fn plain(&self, words: &[String], data: &mut Data) -> Frame {
-        let Some((verb, args)) = words.split_first() else { return error("ERR an empty command".into()) };
+    /// Executes a command outside of the transaction commands.
+    fn execute(&self, words: &[String], data: &mut Data) -> Frame {
+        let Some((command, args)) = words.split_first() else { return error("ERR an empty command".into()) };
         let value = |value: Option<Bytes>| value.map_or(Frame::Null, Frame::BulkString);
-        match (verb.to_ascii_uppercase().as_str(), args) {
-            ("PING", _) => simple("PONG"),
+        match (command.to_ascii_uppercase().as_str(), args) {
+            ("PING", _) => simple_string("PONG"),
             ("GET", [key]) => value(data.get(key)),
             ("MGET", keys) => Frame::Array(keys.iter().map(|key| value(data.get(key))).collect()),
             ("DEL", keys) => {
                 let removed = keys.iter().filter(|key| data.get(key).is_some()).cloned().collect::<Vec<_>>();
                 removed.iter().for_each(|key| {
                     data.values.remove(key);
-                    data.touch(key);
+                    data.mark_changed(key);
                 });
                 Frame::Integer(removed.len() as i64)
             }
             ("SET", [key, new, options @ ..]) => {
-                let (mut ends, mut absent) = (None, false);
+                let (mut expires_at, mut only_if_absent) = (None, false);
                 let mut options = options.iter();
                 while let Some(option) = options.next() {
                     match option.to_ascii_uppercase().as_str() {
-                        "NX" => absent = true,
+                        "NX" => only_if_absent = true,
                         "PX" => match options.next().and_then(|ms| ms.parse().ok()) {
-                            Some(ms) => ends = Some(Instant::now() + Duration::from_millis(ms)),
+                            Some(ms) => expires_at = Some(Instant::now() + Duration::from_millis(ms)),
                             None => return error("ERR value is not an integer or out of range".into()),
                         },
                         _ => return error("ERR syntax error".into()),
                     }
                 }
-                if absent && data.get(key).is_some() {
+                if only_if_absent && data.get(key).is_some() {
                     return Frame::Null;
                 }
-                data.values.insert(key.clone(), (Bytes::copy_from_slice(new.as_bytes()), ends));
-                data.touch(key);
-                self.note(key, new);
-                simple("OK")
+                data.values.insert(key.clone(), (Bytes::copy_from_slice(new.as_bytes()), expires_at));
+                data.mark_changed(key);
+                self.record_change(key, new);
+                simple_string("OK")
+            }
+            (command, _) => {
+                error(format!("ERR unknown command or wrong number of arguments for '{command}'"))
             }
-            (verb, _) => error(format!("ERR unknown command or wrong number of arguments for '{verb}'")),
         }
     }
 }
 
-fn words(frame: &Frame) -> Option<Vec<String>> {
+/// The words of a command; `None` if the frame is not an array of strings.
+fn command_words(frame: &Frame) -> Option<Vec<String>> {
     let Frame::Array(frames) = frame else { return None };
     let word = |frame: &Frame| match frame {
         Frame::BulkString(bytes) => String::from_utf8(bytes.to_vec()).ok(),
