--- a/crates/whinhill-standins/src/audit.rs
+++ b/crates/whinhill-standins/src/audit.rs
@@ -165,7 +165,8 @@
         let Some(history) = self.slices.get(&slice) else { return false };
         let before = history.holders.iter().rposition(|(at, _)| *at <= from);
         let changed = history.holders.iter().any(|(at, _)| *at > from && *at <= to);
-        let Some(holder) = before.and_then(|k| history.holders[k].1.clone()).filter(|_| !changed) else {
+        let Some(holder) = before.and_then(|index| history.holders[index].1.clone()).filter(|_| !changed)
+        else {
             return false;
         };
         let holder: Name = holder.into();
@@ -205,13 +206,13 @@
 /// No effect twice: finds RPCs that must run once and ran again, overlapping writes at two servers, and writes at a
 /// former owner.
 fn check_effects(events: &[(Duration, Event)], timeline: &Timeline, audit: &mut Audit) {
-    let mut begun: HashMap<u64, u32> = HashMap::new();
-    let mut open: BTreeMap<usize, Vec<(u64, Name)>> = BTreeMap::new();
-    let mut newest: BTreeMap<usize, usize> = BTreeMap::new();
+    let mut start_counts: HashMap<u64, u32> = HashMap::new();
+    let mut open_writes: BTreeMap<usize, Vec<(u64, Name)>> = BTreeMap::new();
+    let mut latest_position: BTreeMap<usize, usize> = BTreeMap::new();
     for (at, event) in events {
         match event {
             Event::ExecutionStarted { server, rpc, slice, write, once } => {
-                let count = begun.entry(*rpc).or_default();
+                let count = start_counts.entry(*rpc).or_default();
                 *count += 1;
                 if *once && *count == 2 {
                     audit.writes_executed_twice += 1;
@@ -220,22 +221,22 @@
                 if !write {
                     continue;
                 }
-                let here = open.entry(*slice).or_default();
-                if let Some((other, elsewhere)) = here.iter().find(|(_, other)| other != server) {
+                let slice_writes = open_writes.entry(*slice).or_default();
+                if let Some((other, elsewhere)) = slice_writes.iter().find(|(_, other)| other != server) {
                     let text = format!(
                         "slice {slice}: write {rpc} at {server} while {other} is in flight at {elsewhere}"
                     );
                     audit.overlapping_writes += 1;
                     audit.add_finding(*at, text);
                 }
-                here.push((*rpc, server.clone()));
-                // The position among the slice's successive owners, as stored, that the server has in this write.
+                slice_writes.push((*rpc, server.clone()));
+                // Which of the slice's successive owners, in the order in which they were stored, the server is.
                 let owners =
                     timeline.slices.get(slice).map(|history| history.owners.as_slice()).unwrap_or_default();
                 let position = owners.iter().rposition(|(since, owner)| since <= at && owner == server);
-                let newest = newest.entry(*slice).or_default();
+                let latest_position = latest_position.entry(*slice).or_default();
                 match position {
-                    Some(position) if position >= *newest => *newest = position,
+                    Some(position) if position >= *latest_position => *latest_position = position,
                     _ => {
                         audit.stale_writes += 1;
                         audit.add_finding(
@@ -246,7 +247,7 @@
                 }
             }
             Event::ExecutionEnded { rpc, slice, write: true, .. } => {
-                open.entry(*slice).or_default().retain(|(other, _)| other != rpc);
+                open_writes.entry(*slice).or_default().retain(|(other, _)| other != rpc);
             }
             _ => {}
         }
