--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -7,7 +7,8 @@
 use hdrhistogram::Histogram;
 
 use whinhill::interface::{
-    Entry, Ep, Event, Health, ListKind, Listed, LoadReport, Order, Probe, ProxyId, SettingsError, SliceId,
+    EndpointId, Event, Health, ListKind, ListedStatus, LoadReport, Order, ProbeOutcome, ProxyId, ServerEntry,
+    SettingsError, SliceId,
 };
 use whinhill_reports::{Hearing, Intake, Ledger, Shown};
 use whinhill_store::Told;
@@ -43,7 +44,7 @@
     /// A load report stream ended.
     ReportStreamClosed { proxy: String },
     /// A probe of a server ended.
-    ProbeCompleted { server: ServerName, result: Probe, load: LoadReport },
+    ProbeCompleted { server: ServerName, result: ProbeOutcome, load: LoadReport },
     /// Slices were acquired or released.
     Custody { events: Vec<Told> },
     /// The store holds a grant.
@@ -151,7 +152,7 @@
     }
 
     fn moving(&self, slice: SliceId) -> bool {
-        self.module.moving(slice)
+        self.module.has_handover(slice)
     }
 }
 
@@ -312,13 +313,13 @@
     /// Gives the module its events and carries out the orders that it returns.
     fn decide(&mut self, now: Duration, mut events: Vec<Event>, effects: &mut Effects) {
         let names = &self.names;
-        let ep = |index: usize| {
-            let stable = names.server(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
-            Ep { index, stable }
+        let endpoint = |index: usize| {
+            let stable_id = names.server(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
+            EndpointId { index, stable_id }
         };
         if self.started {
             let report_lines = self.intake.give(now);
-            events.extend(report_lines.iter().map(|line| event(line, ep)));
+            events.extend(report_lines.iter().map(|line| event(line, endpoint)));
             let load_unknown = self.intake.blind();
             if load_unknown != std::mem::replace(&mut self.load_unknown, load_unknown) {
                 effects.log.push(load_state_message(load_unknown, self.intake.shown()));
@@ -337,7 +338,7 @@
             self.history_recorder.look(now, self.publisher.published(), &server_view);
         effects.log.extend(ended);
         for (slice, server) in requested_moves {
-            events.push(Event::Wished { slice, to: self.names.ep(&server) });
+            events.push(Event::MoveRequested { slice, destination: self.names.endpoint(&server) });
         }
         if events.is_empty() {
             return;
@@ -369,10 +370,10 @@
             Input::ProxyJoined { proxy, zone, stream } => {
                 let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
                 if self.joined_streams.insert(id, stream).is_some() {
-                    events.push(Event::Left { proxy: id });
+                    events.push(Event::ProxyLeft { proxy: id });
                     effects.left_proxies.push(id);
                 }
-                events.push(Event::Joined { proxy: id, zone });
+                events.push(Event::ProxyJoined { proxy: id, zone });
             }
             // The end of a stream that a newer one has replaced does not mean that the proxy left.
             Input::ProxyLeft { proxy, stream } => {
@@ -381,7 +382,7 @@
                     self.joined_streams.remove(&id);
                     self.record_ack_progress(id, None);
                     effects.left_proxies.push(id);
-                    events.push(Event::Left { proxy: id });
+                    events.push(Event::ProxyLeft { proxy: id });
                 }
             }
             Input::Acked { proxy, stream, ack_seq } => {
@@ -389,7 +390,7 @@
                 let is_current_stream = self.joined_streams.get(&id) == Some(&stream);
                 if let (Some(ordered_at), true) = (self.ack_seq_ordered_at.get(&ack_seq), is_current_stream) {
                     let transit = now.saturating_sub(*ordered_at);
-                    events.push(Event::Acked { proxy: id, mark: ack_seq, way: transit });
+                    events.push(Event::Acked { proxy: id, ack_seq, transit });
                     self.ack_latency.saturating_record(transit.as_micros() as u64);
                     self.record_ack_progress(id, Some((ack_seq, now)));
                 }
@@ -414,7 +415,7 @@
                 self.intake.closed(now, id);
             }
             Input::ProbeCompleted { server, result, load } => {
-                events.push(Event::Probed { ep: self.names.ep(&server), result, load });
+                events.push(Event::Probed { endpoint: self.names.endpoint(&server), result, load });
             }
             Input::Custody { events: custody_events } => {
                 for custody_event in custody_events {
@@ -499,15 +500,15 @@
     }
 
     /// The module's entry for a server of the list.
-    fn server_entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> Entry {
+    fn server_entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> ServerEntry {
         let server: ServerName = entry.addr.to_string().into();
         self.publisher.know(server.clone());
-        Entry {
-            ep: self.names.ep(&server),
+        ServerEntry {
+            endpoint: self.names.endpoint(&server),
             zone: self.names.zone(&entry.zone),
-            listed: match entry.state {
-                RosterState::Ready => Listed::Ready,
-                RosterState::Draining => Listed::Draining,
+            status: match entry.state {
+                RosterState::Ready => ListedStatus::Ready,
+                RosterState::Draining => ListedStatus::Draining,
             },
             size: entry.size,
             started: self.names.start_time(&server, entry.started_unix_ms, unix_ms, now),
@@ -520,9 +521,9 @@
             Told::Given { slice, epoch, owner } => {
                 let owner: Option<ServerName> = owner.map(Into::into);
                 self.publisher.give(slice, epoch, owner.clone());
-                events.push(Event::Given { slice });
+                events.push(Event::SliceAcquired { slice });
                 if let Some(owner) = owner {
-                    events.push(Event::Stored { slice, ep: self.names.ep(&owner) });
+                    events.push(Event::StoredOwner { slice, endpoint: self.names.endpoint(&owner) });
                 }
                 effects.released.remove(&slice);
                 effects.acquired.insert(slice);
@@ -530,7 +531,7 @@
             Told::Taken { slice } => {
                 self.publisher.take(slice);
                 self.intake.drop_slice(slice);
-                events.push(Event::Taken { slice });
+                events.push(Event::SliceReleased { slice });
                 effects.acquired.remove(&slice);
                 effects.changed.remove(&slice);
                 effects.released.insert(slice);
@@ -545,9 +546,9 @@
         let (names, module, published) = (&mut self.names, &self.module, self.publisher.published());
         let revokes = orders.iter().filter_map(|order| {
             let Order::Grant { slice, .. } = order else { return None };
-            let ep = names.ep(published.get(slice)?.owner.as_ref()?);
-            let is_leaving = matches!(module.health(ep.index), Health::Draining | Health::Gone);
-            is_leaving.then_some(Order::Revoke { slice: *slice, ep })
+            let endpoint = names.endpoint(published.get(slice)?.owner.as_ref()?);
+            let is_leaving = matches!(module.health(endpoint.index), Health::Draining | Health::Gone);
+            is_leaving.then_some(Order::Revoke { slice: *slice, endpoint })
         });
         let revokes: Vec<Order> = revokes.collect();
         if revokes.is_empty() {
@@ -572,7 +573,7 @@
         effects.grants.extend(changed.grants);
         for order in orders {
             match order {
-                Order::Mark { mark: ack_seq } => {
+                Order::RequestAck { ack_seq } => {
                     self.ack_seq_ordered_at.insert(*ack_seq, now);
                     if self.followed_ack.is_none() {
                         let awaited = self.joined_streams.keys().copied().collect();
@@ -583,21 +584,21 @@
                     let old = ack_seq.wrapping_sub(30_000);
                     self.ack_seq_ordered_at.remove(&old);
                 }
-                Order::Watch | Order::Fetch => effects.fetch_roster = true,
-                Order::Probe { ep } => effects.probes.extend(names.server(ep.index)),
+                Order::WatchList | Order::FetchList => effects.fetch_roster = true,
+                Order::Probe { endpoint } => effects.probes.extend(names.server(endpoint.index)),
                 Order::Wake { after } => self.next_wake = now + *after,
                 Order::Log { text } => effects.log.push(with_server_names(text, names)),
                 Order::Grant { .. } | Order::Revoke { .. } | Order::Level { .. } => {}
             }
             // A grant's line is counted when it is sent, once the store holds the grant.
-            let uses_line = order.costs_a_line() && !matches!(order, Order::Grant { .. });
+            let uses_line = order.uses_channel_line() && !matches!(order, Order::Grant { .. });
             effects.lines_per_proxy += u32::from(uses_line);
         }
         if let (Some(ack_seq), true) = (effects.ack_seq, self.skip_ack_wait) {
             let acks: Vec<Event> = self
                 .joined_streams
                 .keys()
-                .map(|proxy| Event::Acked { proxy: *proxy, mark: ack_seq, way: Duration::ZERO })
+                .map(|proxy| Event::Acked { proxy: *proxy, ack_seq, transit: Duration::ZERO })
                 .collect();
             let more = self.module.handle(now, &acks);
             self.skip_ack_wait = false;
--- a/crates/whinhill-assigner/src/core/tests.rs
+++ b/crates/whinhill-assigner/src/core/tests.rs
@@ -227,7 +227,7 @@
 fn report_is_read_by_slice_and_server_and_unknown_names_are_counted() {
     use whinhill_reports::Key;
     let (service, mut names) = (config().service.service(), Names::new(&[]));
-    names.ep("10.0.0.1:7");
+    names.endpoint("10.0.0.1:7");
     let read = |cluster: &str, server: &str, tries| {
         crate::reports::read_report(5, 0, &report(cluster, server, tries), &service, &names)
     };
--- a/crates/whinhill-assigner/src/name_index.rs
+++ b/crates/whinhill-assigner/src/name_index.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use whinhill::interface::{Ep, ProxyId, ZoneId};
+use whinhill::interface::{EndpointId, ProxyId, ZoneId};
 use whinhill_starts::{Reading, Starts};
 use whinhill_tables::ServerName;
 use xxhash_rust::xxh3::xxh3_64;
@@ -33,16 +33,16 @@
     }
 
     /// The endpoint of a server; a new name is added.
-    pub fn ep(&mut self, server: &str) -> Ep {
-        let stable = xxh3_64(server.as_bytes());
+    pub fn endpoint(&mut self, server: &str) -> EndpointId {
+        let stable_id = xxh3_64(server.as_bytes());
         if let Some(&index) = self.server_indices.get(server) {
-            return Ep { index, stable };
+            return EndpointId { index, stable_id };
         }
         let name: ServerName = server.into();
         let index = self.servers.len();
         self.servers.push(name.clone());
         self.server_indices.insert(name, index);
-        Ep { index, stable }
+        EndpointId { index, stable_id }
     }
 
     /// The index of a server that was on a list or in the store. A name that only occurs in a report is unknown.
--- a/crates/whinhill-assigner/src/probes.rs
+++ b/crates/whinhill-assigner/src/probes.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::Sender;
 use prost::Message;
 use tracing::{debug, warn};
-use whinhill::interface::{LoadReport, Probe};
+use whinhill::interface::{LoadReport, ProbeOutcome};
 use whinhill_tables::ServerName;
 use whinhill_transport::{CallError, Client, Code, Drivers, Limits, NeverRan, CALL_STACK};
 use whinhill_xds::proto::{HealthCheckRequest, HealthCheckResponse, OrcaLoadReport};
@@ -131,7 +131,7 @@
     }
 
     /// Sends a result, waiting while the input queue is full: a probe thread may block.
-    fn send_result(&self, server: ServerName, result: Probe, load: LoadReport) {
+    fn send_result(&self, server: ServerName, result: ProbeOutcome, load: LoadReport) {
         debug!(%server, ?result, "a server was asked");
         if self.inputs.send((Input::ProbeCompleted { server, result, load }, None)).is_err() {
             debug!("a probe result is dropped: the decision thread has ended");
@@ -143,19 +143,19 @@
     }
 
     /// The outcome of a probe; `None` if the server was not asked, which says nothing about the server.
-    fn probe(&self, server: &ServerName) -> Option<(Probe, LoadReport)> {
+    fn probe(&self, server: &ServerName) -> Option<(ProbeOutcome, LoadReport)> {
         Some(match self.check(server) {
             Err(CallError::NeverRan(NeverRan::NotTried)) => return None,
-            Ok((HealthCheckResponse { status: SERVING }, load)) => (Probe::Ok, load),
-            Ok((_, load)) => (Probe::PushedBack, load),
+            Ok((HealthCheckResponse { status: SERVING }, load)) => (ProbeOutcome::Ok, load),
+            Ok((_, load)) => (ProbeOutcome::PushedBack, load),
             Err(
                 CallError::Status { code: Code::Unavailable | Code::ResourceExhausted, .. }
                 | CallError::NeverRan(NeverRan::RefusedStream),
-            ) => (Probe::PushedBack, LoadReport::default()),
+            ) => (ProbeOutcome::PushedBack, LoadReport::default()),
             Err(CallError::Status { .. } | CallError::Malformed(_) | CallError::TooLarge { .. }) => {
-                (Probe::Aborted, LoadReport::default())
+                (ProbeOutcome::Aborted, LoadReport::default())
             }
-            Err(_) => (Probe::Unanswered, LoadReport::default()),
+            Err(_) => (ProbeOutcome::Unanswered, LoadReport::default()),
         })
     }
 
--- a/crates/whinhill-assigner/src/probes/tests.rs
+++ b/crates/whinhill-assigner/src/probes/tests.rs
@@ -26,7 +26,11 @@
 }
 
 /// Probes a server and returns the outcome.
-fn probe(prober: &Prober, server: &ServerName, results: &Receiver<(Input, Option<Sender<()>>)>) -> Probe {
+fn probe(
+    prober: &Prober,
+    server: &ServerName,
+    results: &Receiver<(Input, Option<Sender<()>>)>,
+) -> ProbeOutcome {
     prober.probe(server.clone());
     match results.recv_timeout(TEST_TIMEOUT) {
         Ok((Input::ProbeCompleted { result, .. }, None)) => result,
@@ -40,7 +44,7 @@
     let (_listener, server) = listen(Limits::default(), &drivers, ServerCall::refuse_unseen);
     let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    assert_eq!(probe(&prober, &server, &results), Probe::PushedBack);
+    assert_eq!(probe(&prober, &server, &results), ProbeOutcome::PushedBack);
 }
 
 #[test]
@@ -54,7 +58,7 @@
     });
     let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    assert_eq!(probe(&prober, &server, &results), Probe::Aborted);
+    assert_eq!(probe(&prober, &server, &results), ProbeOutcome::Aborted);
 }
 
 #[test]
@@ -65,7 +69,7 @@
     let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
     for attempt in 0..5 {
-        assert_eq!(probe(&prober, &server, &results), Probe::Ok, "attempt {attempt}");
+        assert_eq!(probe(&prober, &server, &results), ProbeOutcome::Ok, "attempt {attempt}");
         let until = Instant::now() + TEST_TIMEOUT;
         while listener.connections() > 0 {
             assert!(Instant::now() < until, "the server keeps an idle connection");
@@ -104,8 +108,9 @@
     let (_listener, server) = listen(Limits::default(), &drivers, answer_health);
     let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
-    (0..300)
-        .for_each(|attempt| assert_eq!(probe(&prober, &server, &results), Probe::Ok, "attempt {attempt}"));
+    (0..300).for_each(|attempt| {
+        assert_eq!(probe(&prober, &server, &results), ProbeOutcome::Ok, "attempt {attempt}")
+    });
 }
 
 #[test]
--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use whinhill::interface::{Ep, Event, LoadReport, ProxyId, ZoneId};
+use whinhill::interface::{EndpointId, Event, LoadReport, ProxyId, ZoneId};
 use whinhill_reports::{Figures, Given, Key, Line, Told};
 use whinhill_xds::mapping::{server_name, Service};
 use whinhill_xds::proto;
@@ -53,18 +53,26 @@
 }
 
 /// The module's event for a line of the intake.
-pub fn event(line: &Given, ep: impl Fn(usize) -> Ep) -> Event {
-    let (figures, span) = (&line.figures, line.span);
+pub fn event(line: &Given, endpoint: impl Fn(usize) -> EndpointId) -> Event {
+    let (figures, interval) = (&line.figures, line.span);
     match line.key {
         Key::Came { slice, method } => {
             let lost = figures.lost.min(figures.tries);
-            Event::Demand { slice, method, rpcs: figures.tries, lost, span }
+            Event::Demand { slice, method, rpcs: figures.tries, lost, interval }
         }
         Key::Met { server, zone } => {
             let mean_wait_ms = if figures.oks > 0 { figures.wait_ms / figures.oks as f64 } else { 0.0 };
-            let wait = Duration::try_from_secs_f64(mean_wait_ms / 1e3).unwrap_or_default();
+            let mean_wait = Duration::try_from_secs_f64(mean_wait_ms / 1e3).unwrap_or_default();
             let (tries, lost) = (figures.tries, figures.lost);
-            Event::Met { ep: ep(server), zone, tries, lost, wait, span, load: figures.load }
+            Event::TryReport {
+                endpoint: endpoint(server),
+                zone,
+                tries,
+                lost,
+                mean_wait,
+                interval,
+                load: figures.load,
+            }
         }
     }
 }
@@ -88,9 +96,9 @@
 pub fn read_load(load: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu" => load.cpu = Some(value),
-        "in_hand" => load.in_hand = Some(value),
-        "queue" => load.waiting = Some(value),
-        "service_ms" => load.service = Duration::try_from_secs_f64(value / 1e3).ok(),
+        "in_hand" => load.in_flight = Some(value),
+        "queue" => load.queued = Some(value),
+        "service_ms" => load.service_time = Duration::try_from_secs_f64(value / 1e3).ok(),
         _ => {}
     }
 }
--- a/crates/whinhill-names/src/lib.rs
+++ b/crates/whinhill-names/src/lib.rs
@@ -8,14 +8,14 @@
 //! let settings = Settings([("zones".into(), "a,b".into())].into());
 //! let mut names = Names::new(&settings);
 //! assert_eq!(names.known_zone("b"), Some(1));
-//! let ep = names.ep("s-1");
-//! assert_eq!((names.known("s-1"), names.server(ep.index)), (Some(ep), Some("s-1")));
+//! let endpoint = names.endpoint("s-1");
+//! assert_eq!((names.known("s-1"), names.server(endpoint.index)), (Some(endpoint), Some("s-1")));
 //! ```
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use whinhill::interface::{Ep, LoadReport, MethodId, Settings, SliceId, ZoneId};
+use whinhill::interface::{EndpointId, LoadReport, MethodId, Settings, SliceId, ZoneId};
 
 /// Limit on the number of distinct zones: server lists may carry any zone name, and past the limit every unknown
 /// name maps to the last zone.
@@ -57,7 +57,7 @@
     }
 
     /// The endpoint of a server; assigns an index to a name that has none.
-    pub fn ep(&mut self, name: &str) -> Ep {
+    pub fn endpoint(&mut self, name: &str) -> EndpointId {
         let index = match self.index_by_name.get(name) {
             Some(&index) => index,
             None => {
@@ -68,12 +68,12 @@
                 index
             }
         };
-        Ep { index, stable: fnv1a(name) }
+        EndpointId { index, stable_id: fnv1a(name) }
     }
 
     /// The endpoint of a server that has an index.
-    pub fn known(&self, name: &str) -> Option<Ep> {
-        self.index_by_name.get(name).map(|&index| Ep { index, stable: fnv1a(name) })
+    pub fn known(&self, name: &str) -> Option<EndpointId> {
+        self.index_by_name.get(name).map(|&index| EndpointId { index, stable_id: fnv1a(name) })
     }
 
     /// The name of the server with this index.
@@ -144,9 +144,9 @@
 pub fn set_figure(load: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu_share" | "util" => load.cpu = Some(value),
-        "busy_reqs" | "inflight" => load.in_hand = Some(value),
-        "pending" | "queue" => load.waiting = Some(value),
-        "svc_ms" | "latency_ms" => load.service = Duration::try_from_secs_f64(value / 1e3).ok(),
+        "busy_reqs" | "inflight" => load.in_flight = Some(value),
+        "pending" | "queue" => load.queued = Some(value),
+        "svc_ms" | "latency_ms" => load.service_time = Duration::try_from_secs_f64(value / 1e3).ok(),
         _ => {}
     }
 }
@@ -164,13 +164,13 @@
     #[test]
     fn index_freed_twice_is_reused_only_once() {
         let mut names = Names::default();
-        let (a, b) = (names.ep("a"), names.ep("b"));
+        let (a, b) = (names.endpoint("a"), names.endpoint("b"));
         names.let_go(a.index);
         names.let_go(a.index);
         names.let_go(99);
         assert_eq!((names.known("a"), names.server(a.index), names.servers().count()), (None, None, 1));
-        let (c, d) = (names.ep("c"), names.ep("d"));
-        assert_eq!((c.index, d.index, names.ep("b")), (a.index, 2, b));
-        assert_ne!(c.stable, a.stable);
+        let (c, d) = (names.endpoint("c"), names.endpoint("d"));
+        assert_eq!((c.index, d.index, names.endpoint("b")), (a.index, 2, b));
+        assert_ne!(c.stable_id, a.stable_id);
     }
 }
--- a/crates/whinhill-node/src/connection.rs
+++ b/crates/whinhill-node/src/connection.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use socket2::SockRef;
-use whinhill::interface::Ep;
+use whinhill::interface::EndpointId;
 use whinhill_errors::is_short_of_memory;
 use whinhill_platform::discovery::Asking;
 use whinhill_platform::lines::Lines;
@@ -34,7 +34,7 @@
     Discovery(Asking),
     /// A probe of a server.
     Probe {
-        ep: Ep,
+        endpoint: EndpointId,
         probing: Probing,
         /// When the probe counts as unanswered.
         deadline: Duration,
--- a/crates/whinhill-node/src/node.rs
+++ b/crates/whinhill-node/src/node.rs
@@ -163,7 +163,7 @@
             });
         let settings_error = |source| NodeError::Settings { path: path.into(), source };
         let assigner = Assigner::new(&config.settings, config.seed).map_err(settings_error)?;
-        let round_duration = config.settings.span("round").map_err(settings_error)?;
+        let round_duration = config.settings.duration("round").map_err(settings_error)?;
         let poll = retry_at_startup("poll", Poll::new).map_err(io_error("poll"))?;
         let registered = retry_at_startup("signals", || {
             let registered = poll.registry().register(&mut signals, SIGNALS, Interest::READABLE);
@@ -269,9 +269,9 @@
         let mut relay_orders = Vec::new();
         for order in self.assigner.handle(now, &events) {
             match order {
-                Order::Watch => self.start_discovery_watch(),
-                Order::Fetch => self.fetch_server_list(),
-                Order::Probe { ep } => self.queue_probe(ep),
+                Order::WatchList => self.start_discovery_watch(),
+                Order::FetchList => self.fetch_server_list(),
+                Order::Probe { endpoint } => self.queue_probe(endpoint),
                 // The module asks again only once its last wake-up is due. That one may still be set where this
                 // process is late, and is replaced.
                 Order::Wake { after } => self.deadlines.set(DeadlineKind::Wake, now + after),
@@ -292,7 +292,7 @@
 
 fn trace_event(event: &Event) {
     match event {
-        Event::Met { .. }
+        Event::TryReport { .. }
         | Event::Demand { .. }
         | Event::Probed { .. }
         | Event::Acked { .. }
--- a/crates/whinhill-node/src/probe_queue.rs
+++ b/crates/whinhill-node/src/probe_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use whinhill::interface::Ep;
+use whinhill::interface::EndpointId;
 
 /// The probes of one server.
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,7 +18,7 @@
 pub struct ProbeQueue {
     max_connections: usize,
     connections: usize,
-    queued: VecDeque<Ep>,
+    queued: VecDeque<EndpointId>,
     servers: Vec<ServerProbes>,
 }
 
@@ -29,24 +29,24 @@
     }
 
     /// Queues a server; `false` if it is queued or being probed already.
-    pub fn push(&mut self, ep: Ep) -> bool {
-        let server = self.server(ep.index);
+    pub fn push(&mut self, endpoint: EndpointId) -> bool {
+        let server = self.server(endpoint.index);
         if server.queued || server.postponed || server.connections > 0 {
             return false;
         }
         server.queued = true;
-        self.queued.push_back(ep);
+        self.queued.push_back(endpoint);
         true
     }
 
     /// The server to probe now, if one is queued and the limit allows it.
-    pub fn pop_next(&mut self) -> Option<Ep> {
+    pub fn pop_next(&mut self) -> Option<EndpointId> {
         if !self.has_capacity() {
             return None;
         }
-        let ep = self.queued.pop_front()?;
-        self.server(ep.index).queued = false;
-        Some(ep)
+        let endpoint = self.queued.pop_front()?;
+        self.server(endpoint.index).queued = false;
+        Some(endpoint)
     }
 
     /// Sets whether a connect to the server failed locally and is to be retried.
@@ -74,7 +74,7 @@
 
     /// Removes the index from the queue; it may be reused for another server.
     pub fn forget(&mut self, index: usize) {
-        self.queued.retain(|ep| ep.index != index);
+        self.queued.retain(|endpoint| endpoint.index != index);
         self.server(index).queued = false;
     }
 
--- a/crates/whinhill-node/src/probes.rs
+++ b/crates/whinhill-node/src/probes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use whinhill::interface::{Ep, Event, LoadReport, Probe};
+use whinhill::interface::{EndpointId, Event, LoadReport, ProbeOutcome};
 use whinhill_platform::probe::{self, Probing};
 
 use crate::connection::{Connection, ConnectionKind};
@@ -15,7 +15,7 @@
 /// A probe whose connect failed immediately.
 #[derive(Debug)]
 pub struct PostponedProbe {
-    ep: Ep,
+    endpoint: EndpointId,
     probing: Probing,
     /// When the probe counts as unanswered.
     deadline: Duration,
@@ -23,38 +23,44 @@
 
 impl Node {
     /// Probes a server now, or as soon as another probe has ended.
-    pub fn queue_probe(&mut self, ep: Ep) {
-        self.counters.probes_skipped += u64::from(!self.probe_queue.push(ep));
+    pub fn queue_probe(&mut self, endpoint: EndpointId) {
+        self.counters.probes_skipped += u64::from(!self.probe_queue.push(endpoint));
         self.start_probes();
     }
 
     fn start_probes(&mut self) {
-        while let Some(ep) = self.probe_queue.pop_next() {
-            let Some(addr) = self.server_addrs.get(ep.index).copied().flatten() else { continue };
+        while let Some(endpoint) = self.probe_queue.pop_next() {
+            let Some(addr) = self.server_addrs.get(endpoint.index).copied().flatten() else { continue };
             self.counters.probes += 1;
             let deadline = self.clock.now() + PROBE_TIMEOUT;
-            if !self.open_probe(ep, addr, Probing::default(), deadline) {
+            if !self.open_probe(endpoint, addr, Probing::default(), deadline) {
                 // Other probes would most likely fail now as well.
                 break;
             }
         }
     }
 
-    fn open_probe(&mut self, ep: Ep, addr: SocketAddr, probing: Probing, deadline: Duration) -> bool {
+    fn open_probe(
+        &mut self,
+        endpoint: EndpointId,
+        addr: SocketAddr,
+        probing: Probing,
+        deadline: Duration,
+    ) -> bool {
         let (retry_probing, time_left) = (probing.clone(), deadline.saturating_sub(self.clock.now()));
-        let kind = ConnectionKind::Probe { ep, probing, deadline };
+        let kind = ConnectionKind::Probe { endpoint, probing, deadline };
         let opened = self.connect(addr, kind, &probe::request(addr), time_left).is_some();
         if opened {
-            self.probe_queue.add_connection(ep.index);
+            self.probe_queue.add_connection(endpoint.index);
         } else {
             // The failure is local and says nothing about the server; a retry may succeed.
-            self.postpone_probe(PostponedProbe { ep, probing: retry_probing, deadline });
+            self.postpone_probe(PostponedProbe { endpoint, probing: retry_probing, deadline });
         }
         opened
     }
 
     fn postpone_probe(&mut self, postponed: PostponedProbe) {
-        self.probe_queue.set_postponed(postponed.ep.index, true);
+        self.probe_queue.set_postponed(postponed.endpoint.index, true);
         self.postponed_probes.push(postponed);
         self.deadlines.set_if_earlier(DeadlineKind::RetryProbes, self.clock.now() + CONNECT_RETRY_DELAY);
     }
@@ -63,7 +69,7 @@
     pub fn retry_postponed_probes(&mut self) {
         let now = self.clock.now();
         for postponed in std::mem::take(&mut self.postponed_probes) {
-            let index = postponed.ep.index;
+            let index = postponed.endpoint.index;
             self.probe_queue.set_postponed(index, false);
             let Some(addr) =
                 self.server_addrs.get(index).copied().flatten().filter(|_| now < postponed.deadline)
@@ -71,7 +77,7 @@
                 continue;
             };
             if self.probe_queue.has_capacity() {
-                self.open_probe(postponed.ep, addr, postponed.probing, postponed.deadline);
+                self.open_probe(postponed.endpoint, addr, postponed.probing, postponed.deadline);
             } else {
                 self.postpone_probe(postponed);
             }
@@ -81,57 +87,59 @@
 
     /// Bytes of a probe's answer arrived.
     pub fn handle_probe_bytes(&mut self, id: Id, bytes: &[u8]) {
-        let Some(Connection { kind: ConnectionKind::Probe { ep, probing, .. }, .. }) =
+        let Some(Connection { kind: ConnectionKind::Probe { endpoint, probing, .. }, .. }) =
             self.connections.get_mut(id)
         else {
             return;
         };
-        let ep = *ep;
+        let endpoint = *endpoint;
         if let Some((result, load)) = probing.take(bytes) {
-            self.finish_probe(id, ep, result, load);
+            self.finish_probe(id, endpoint, result, load);
         }
     }
 
     /// The connection of a probe ended.
     pub fn handle_probe_eof(&mut self, id: Id) {
         let now = self.clock.now();
-        let Some(Connection { kind: ConnectionKind::Probe { ep, probing, deadline }, .. }) =
+        let Some(Connection { kind: ConnectionKind::Probe { endpoint, probing, deadline }, .. }) =
             self.connections.get_mut(id)
         else {
             return;
         };
-        let (ep, deadline) = (*ep, *deadline);
+        let (endpoint, deadline) = (*endpoint, *deadline);
         if let Some((result, load)) = probing.ended() {
-            return self.finish_probe(id, ep, result, load);
+            return self.finish_probe(id, endpoint, result, load);
         }
         let probing = std::mem::take(probing);
-        match self.server_addrs.get(ep.index).copied().flatten().filter(|_| now < deadline) {
+        match self.server_addrs.get(endpoint.index).copied().flatten().filter(|_| now < deadline) {
             Some(addr) => {
                 self.close(id);
                 self.counters.probes_retried += 1;
-                self.open_probe(ep, addr, probing, deadline);
+                self.open_probe(endpoint, addr, probing, deadline);
             }
-            None => self.finish_probe(id, ep, Probe::Unanswered, LoadReport::default()),
+            None => self.finish_probe(id, endpoint, ProbeOutcome::Unanswered, LoadReport::default()),
         }
     }
 
     /// A probe reached its deadline.
     pub fn handle_probe_timeout(&mut self, id: Id) {
-        if let Some(Connection { kind: ConnectionKind::Probe { ep, .. }, .. }) = self.connections.get(id) {
-            self.finish_probe(id, *ep, Probe::Unanswered, LoadReport::default());
+        if let Some(Connection { kind: ConnectionKind::Probe { endpoint, .. }, .. }) =
+            self.connections.get(id)
+        {
+            self.finish_probe(id, *endpoint, ProbeOutcome::Unanswered, LoadReport::default());
         }
     }
 
     /// Closes the connection of a probe and reports the result to the module.
-    fn finish_probe(&mut self, id: Id, ep: Ep, result: Probe, load: LoadReport) {
-        if let Some(connection) = self.close(id).filter(|_| result == Probe::Unanswered) {
+    fn finish_probe(&mut self, id: Id, endpoint: EndpointId, result: ProbeOutcome, load: LoadReport) {
+        if let Some(connection) = self.close(id).filter(|_| result == ProbeOutcome::Unanswered) {
             self.counters.probes_unanswered += 1;
-            let name = self.names.server(ep.index).unwrap_or("-");
+            let name = self.names.server(endpoint.index).unwrap_or("-");
             let reason =
                 if connection.has_received { "unreadable answer to a probe" } else { "no answer to a probe" };
             self.failure_log.log_server(name, connection.remote, reason);
         }
-        self.pending_events.push(Event::Probed { ep, result, load });
+        self.pending_events.push(Event::Probed { endpoint, result, load });
         self.start_probes();
     }
 }
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -4,7 +4,7 @@
 //! discovery watch.
 
 use tracing::{info, warn};
-use whinhill::interface::{Entry, Event, ListKind, Listed, SliceId, ALL_LET_IN};
+use whinhill::interface::{Event, ListKind, ListedStatus, ServerEntry, SliceId, LEVEL_ADMIT_ALL};
 use whinhill::Assigner;
 use whinhill_platform::lines::Lines;
 use whinhill_platform::relay::calls::{Calls, Outcome};
@@ -147,14 +147,14 @@
         for update in updates {
             match update {
                 Told::Event(event) => {
-                    if let Event::Taken { slice } | Event::Given { slice } = event {
+                    if let Event::SliceReleased { slice } | Event::SliceAcquired { slice } = event {
                         self.relay_calls.forget(slice);
                     }
                     self.pending_events.push(event);
                 }
-                Told::Acked { proxy, mark, way } => {
-                    let way = self.relay_calls.since_order(now, mark, way);
-                    self.pending_events.push(Event::Acked { proxy, mark, way });
+                Told::Acked { proxy, ack_seq, transit } => {
+                    let transit = self.relay_calls.since_order(now, ack_seq, transit);
+                    self.pending_events.push(Event::Acked { proxy, ack_seq, transit });
                 }
                 Told::Anew { slice, differs } => {
                     if differs {
@@ -186,13 +186,13 @@
     /// admitted.
     fn reacquire_slice(&mut self, slice: usize) {
         self.relay_calls.forget(slice);
-        self.pending_events.push(Event::Given { slice });
+        self.pending_events.push(Event::SliceAcquired { slice });
         if let Some(name) = self.relay_watch.line_of(slice) {
-            let ep = self.names.ep(name);
-            self.pending_events.push(Event::Stored { slice, ep });
+            let endpoint = self.names.endpoint(name);
+            self.pending_events.push(Event::StoredOwner { slice, endpoint });
         }
         let tries = self.config.settings.get("familyInfo.retryDefault").unwrap_or(0);
-        let admit_all = RelayOrder::Level { slice, methods: 0, share: ALL_LET_IN, tries };
+        let admit_all = RelayOrder::Level { slice, methods: 0, share: LEVEL_ADMIT_ALL, tries };
         self.relay_calls.push(self.clock.now(), [admit_all]);
     }
 
@@ -210,10 +210,10 @@
         }
         if let Some((orders, since)) = self.relay_calls.in_doubt() {
             // If the call was carried out, its orders are in the channel already and would be queued a second time.
-            if now < since + MAX_UNKNOWN_OUTCOME_WAIT && !self.assigner.may_send_again(orders) {
+            if now < since + MAX_UNKNOWN_OUTCOME_WAIT && !self.assigner.may_resend(orders) {
                 return self.deadlines.set(DeadlineKind::RelayCall, now + UNKNOWN_OUTCOME_CHECK_INTERVAL);
             }
-            self.assigner.sent_again(now, orders);
+            self.assigner.note_resent(now, orders);
         }
         if now > self.call_connection_used_at + MAX_CALL_CONNECTION_IDLE
             || std::mem::take(&mut self.call_connection_outdated)
@@ -277,8 +277,8 @@
     fn handle_partial_call(&mut self, dropped: RelayOrder) {
         warn!("the relay rejected an order: {dropped:?}");
         let RelayOrder::Line { server, on: true, .. } = dropped else { return };
-        let Some(ep) = self.names.known(&server) else { return };
-        let entry = Entry { ep, zone: 0, listed: Listed::Gone, size: 1.0, started: None };
+        let Some(endpoint) = self.names.known(&server) else { return };
+        let entry = ServerEntry { endpoint, zone: 0, status: ListedStatus::Gone, size: 1.0, started: None };
         self.pending_events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
     }
 
@@ -320,7 +320,7 @@
 /// The orders that are pending for a slice: in calls, or in a handover of the module.
 fn pending_orders<'a>(calls: &'a Calls, assigner: &'a Assigner) -> impl Fn(SliceId) -> Owed + 'a {
     |slice| match calls.owed(slice) {
-        Owed::Nothing if assigner.moving(slice) => Owed::Handover,
+        Owed::Nothing if assigner.has_handover(slice) => Owed::Handover,
         owed => owed,
     }
 }
--- a/crates/whinhill-node/src/server_lists.rs
+++ b/crates/whinhill-node/src/server_lists.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use tracing::debug;
-use whinhill::interface::{Entry, Event, ListKind, Listed};
+use whinhill::interface::{Event, ListKind, ListedStatus, ServerEntry};
 use whinhill_platform::roster::Roster;
 use whinhill_starts::Reading;
 
@@ -18,20 +18,20 @@
             self.listed_servers.clear();
         }
         for server in &list.servers {
-            let ep = self.names.ep(&server.name);
-            if self.server_addrs.get(ep.index).copied().flatten() != Some(server.addr) {
-                debug!(target: TRACE, "server {} is {} at {}", ep.index, server.name, server.addr);
+            let endpoint = self.names.endpoint(&server.name);
+            if self.server_addrs.get(endpoint.index).copied().flatten() != Some(server.addr) {
+                debug!(target: TRACE, "server {} is {} at {}", endpoint.index, server.name, server.addr);
             }
-            self.server_addrs.resize(self.server_addrs.len().max(ep.index + 1), None);
-            self.server_addrs[ep.index] = Some(server.addr);
-            match server.listed {
-                Listed::Gone => self.listed_servers.remove(&ep.index),
-                _ => self.listed_servers.insert(ep.index),
+            self.server_addrs.resize(self.server_addrs.len().max(endpoint.index + 1), None);
+            self.server_addrs[endpoint.index] = Some(server.addr);
+            match server.status {
+                ListedStatus::Gone => self.listed_servers.remove(&endpoint.index),
+                _ => self.listed_servers.insert(endpoint.index),
             };
             let reading = Reading { now: self.clock.now(), wall: self.clock.wall() };
             let started = self.server_starts.started(reading, &server.name, server.started_ms);
             let zone = self.names.zone(&server.zone);
-            entries.push(Entry { ep, zone, listed: server.listed, size: server.size, started });
+            entries.push(ServerEntry { endpoint, zone, status: server.status, size: server.size, started });
         }
         self.pending_events.push(Event::List { kind, entries });
     }
@@ -45,7 +45,7 @@
         self.unlisted_since.retain(|index, _| unlisted.contains(index));
         for index in unlisted {
             let since = *self.unlisted_since.entry(index).or_insert(now);
-            if now >= since + FORGET_SERVER_DELAY && self.assigner.is_done_with(index) {
+            if now >= since + FORGET_SERVER_DELAY && self.assigner.can_reuse_index(index) {
                 self.names.let_go(index);
                 self.probe_queue.forget(index);
                 self.unlisted_since.remove(&index);
--- a/crates/whinhill-node/src/sockets.rs
+++ b/crates/whinhill-node/src/sockets.rs
@@ -65,7 +65,7 @@
                 self.client_count -= 1;
                 self.unjoined_count -= usize::from(!peer.joined());
             }
-            ConnectionKind::Probe { ep, .. } => self.probe_queue.remove_connection(ep.index),
+            ConnectionKind::Probe { endpoint, .. } => self.probe_queue.remove_connection(endpoint.index),
             _ => {}
         }
         for holder in [
--- a/crates/whinhill-node/src/status_log.rs
+++ b/crates/whinhill-node/src/status_log.rs
@@ -155,14 +155,14 @@
 
     /// Logs slices whose owners change, and whom they wait for.
     fn log_handovers(&self) {
-        let handovers = self.assigner.handovers();
+        let handovers = self.assigner.handover_summary();
         info!(
-            under_way = handovers.under_way,
+            under_way = handovers.in_progress,
             without_line = handovers.without_line,
-            without_line_ms = handovers.without_line_for.as_millis() as u64,
-            awaited = ?handovers.awaited,
-            granted = handovers.granted,
-            longest_ms = handovers.longest.as_millis() as u64,
+            without_line_ms = handovers.longest_without_line.as_millis() as u64,
+            awaited = ?handovers.awaited_proxies,
+            granted = handovers.granted_count,
+            longest_ms = handovers.longest_duration.as_millis() as u64,
             "handovers"
         );
     }
@@ -259,16 +259,16 @@
         if !enabled!(target: BELIEFS, Level::DEBUG) {
             return;
         }
-        let loads = self.assigner.loads();
+        let loads = self.assigner.estimated_loads();
         for server in self.names.servers().filter(|s| self.assigner.health(*s) != Health::Gone) {
             let health = self.assigner.health(server);
             let load = loads.get(server).copied().unwrap_or_default();
             let slices = (0..self.names.slices()).filter(|s| self.assigner.owner(*s) == Some(server));
-            let (moving, own): (Vec<_>, Vec<_>) = slices.partition(|s| self.assigner.moving(*s));
+            let (moving, own): (Vec<_>, Vec<_>) = slices.partition(|s| self.assigner.has_handover(*s));
             let name = self.names.server(server).unwrap_or("-");
             debug!(target: BELIEFS, "server {server} {name} {health:?} load {load:.2} owns {own:?} moving {moving:?}");
         }
-        debug!(target: BELIEFS, "channel {:.0} lines, {} queued orders", self.assigner.channel_lines(), self.relay_calls.waiting());
+        debug!(target: BELIEFS, "channel {:.0} lines, {} queued orders", self.assigner.queued_lines(), self.relay_calls.waiting());
         self.deadlines.set(DeadlineKind::LogBeliefs, self.clock.now() + BELIEFS_INTERVAL);
     }
 }
--- a/crates/whinhill-platform/src/probe.rs
+++ b/crates/whinhill-platform/src/probe.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use whinhill::interface::{LoadReport, Probe};
+use whinhill::interface::{LoadReport, ProbeOutcome};
 
 use crate::http::{self, ResponseReader};
 use crate::reports::parse_load_report;
@@ -26,10 +26,10 @@
 
 impl Probing {
     /// Handles received bytes. Returns the result once the response is complete or invalid.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<(Probe, LoadReport)> {
+    pub fn take(&mut self, bytes: &[u8]) -> Option<(ProbeOutcome, LoadReport)> {
         let pushed = self.response.push(bytes, &mut self.body);
         if pushed.is_err() || self.body.len() > MAX_BODY_BYTES {
-            return Some((Probe::Unanswered, LoadReport::default()));
+            return Some((ProbeOutcome::Unanswered, LoadReport::default()));
         }
         self.response.is_complete().then(|| self.result())
     }
@@ -37,20 +37,20 @@
     /// Handles the end or the reset of the connection. `None`: the server is to be probed once more, within the same
     /// deadline. One reset may be caused by the network or a full backlog; a dead server resets the second connection
     /// as well.
-    pub fn ended(&mut self) -> Option<(Probe, LoadReport)> {
+    pub fn ended(&mut self) -> Option<(ProbeOutcome, LoadReport)> {
         if self.response.is_complete_at_eof() {
             return Some(self.result());
         }
         let was_retried = std::mem::replace(self, Probing { retried: true, ..Probing::default() }).retried;
-        was_retried.then_some((Probe::Unanswered, LoadReport::default()))
+        was_retried.then_some((ProbeOutcome::Unanswered, LoadReport::default()))
     }
 
-    fn result(&self) -> (Probe, LoadReport) {
+    fn result(&self) -> (ProbeOutcome, LoadReport) {
         match self.response.status() {
-            Some(200) => (Probe::Ok, parse_load_report(&self.body)),
+            Some(200) => (ProbeOutcome::Ok, parse_load_report(&self.body)),
             // The server drains, or has too many probes at a time: its health is unknown.
-            Some(503) => (Probe::PushedBack, parse_load_report(&self.body)),
-            _ => (Probe::Aborted, LoadReport::default()),
+            Some(503) => (ProbeOutcome::PushedBack, parse_load_report(&self.body)),
+            _ => (ProbeOutcome::Aborted, LoadReport::default()),
         }
     }
 }
--- a/crates/whinhill-platform/src/probe/tests.rs
+++ b/crates/whinhill-platform/src/probe/tests.rs
@@ -7,11 +7,11 @@
         probing.take(input).unwrap_or_else(|| probing.ended().unwrap())
     };
     let (result, load) = probe(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil=0.25");
-    assert_eq!((result, load.cpu), (Probe::Ok, Some(0.25)));
-    assert_eq!(probe(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").0, Probe::PushedBack);
-    assert_eq!(probe(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").0, Probe::Aborted);
-    assert_eq!(probe(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil").0, Probe::Unanswered);
-    assert_eq!(probe(b"\x16\x03").0, Probe::Unanswered);
+    assert_eq!((result, load.cpu), (ProbeOutcome::Ok, Some(0.25)));
+    assert_eq!(probe(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").0, ProbeOutcome::PushedBack);
+    assert_eq!(probe(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").0, ProbeOutcome::Aborted);
+    assert_eq!(probe(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil").0, ProbeOutcome::Unanswered);
+    assert_eq!(probe(b"\x16\x03").0, ProbeOutcome::Unanswered);
 }
 
 /// Resets by the network are no sign of an unhealthy server. Two of them, one in each of two probes, had made the assigner
@@ -21,7 +21,7 @@
     let mut probing = Probing::default();
     assert_eq!(probing.take(b"HTTP/1.1 200 OK\r\nContent-Le"), None);
     assert_eq!(probing.ended(), None);
-    assert_eq!(probing.take(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap().0, Probe::Ok);
+    assert_eq!(probing.take(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap().0, ProbeOutcome::Ok);
     let mut probing = Probing::default();
-    assert_eq!((probing.ended(), probing.ended().unwrap().0), (None, Probe::Unanswered));
+    assert_eq!((probing.ended(), probing.ended().unwrap().0), (None, ProbeOutcome::Unanswered));
 }
--- a/crates/whinhill-platform/src/relay/news.rs
+++ b/crates/whinhill-platform/src/relay/news.rs
@@ -48,9 +48,9 @@
         /// The proxy that answered.
         proxy: ProxyId,
         /// The ack sequence number of the request.
-        mark: u16,
+        ack_seq: u16,
         /// Transit time from the call to the relay until the orders took effect at the proxy.
-        way: Duration,
+        transit: Duration,
     },
     /// A slice of ours that another assigner may have held while the stream was broken. It is treated as if it had
     /// been acquired now.
@@ -349,7 +349,7 @@
                 }
                 // An ack counts on either connection, and a duplicate does no harm.
                 Message::Ack(proxy, ack_seq, transit) if self.proxies.contains_key(&proxy) => {
-                    updates.push(Told::Acked { proxy, mark: ack_seq, way: transit });
+                    updates.push(Told::Acked { proxy, ack_seq, transit });
                 }
                 message if stream.phase == Phase::Live || !self.has_baseline => {
                     self.apply(message, names, updates)
@@ -367,29 +367,32 @@
         match message {
             Message::Hello(proxy, zone) => {
                 self.proxies.insert(proxy, zone);
-                updates.push(Told::Event(Event::Joined { proxy, zone }));
+                updates.push(Told::Event(Event::ProxyJoined { proxy, zone }));
             }
             Message::Bye(proxy) => {
                 if self.proxies.remove(&proxy).is_some() {
-                    updates.push(Told::Event(Event::Left { proxy }));
+                    updates.push(Told::Event(Event::ProxyLeft { proxy }));
                 }
             }
             Message::Lease(slice, true) => {
                 self.slices.insert(slice, None);
                 self.lines_not_ordered.insert(slice);
-                updates.push(Told::Event(Event::Given { slice }));
+                updates.push(Told::Event(Event::SliceAcquired { slice }));
             }
             Message::Lease(slice, false) => {
                 self.lines_not_ordered.remove(&slice);
                 if self.slices.remove(&slice).is_some() {
-                    updates.push(Told::Event(Event::Taken { slice }));
+                    updates.push(Told::Event(Event::SliceReleased { slice }));
                 }
             }
             Message::Line(slice, server) if self.lines_not_ordered.contains(&slice) => {
                 match self.slices.get_mut(&slice) {
                     Some(known @ None) => {
                         *known = Some(server.to_string());
-                        updates.push(Told::Event(Event::Stored { slice, ep: names.ep(server) }));
+                        updates.push(Told::Event(Event::StoredOwner {
+                            slice,
+                            endpoint: names.endpoint(server),
+                        }));
                     }
                     Some(Some(known)) if known != server => {
                         updates.push(Told::Extra { slice, server: server.to_string() });
@@ -454,10 +457,10 @@
     /// is requested again.
     fn reconcile_proxies(&mut self, joined: BTreeMap<ProxyId, ZoneId>, updates: &mut Vec<Told>) {
         for (proxy, zone) in joined.iter().filter(|(proxy, _)| !self.proxies.contains_key(proxy)) {
-            updates.push(Told::Event(Event::Joined { proxy: *proxy, zone: *zone }));
+            updates.push(Told::Event(Event::ProxyJoined { proxy: *proxy, zone: *zone }));
         }
         for proxy in self.proxies.keys().filter(|proxy| !joined.contains_key(proxy)) {
-            updates.push(Told::Event(Event::Left { proxy: *proxy }));
+            updates.push(Told::Event(Event::ProxyLeft { proxy: *proxy }));
         }
         self.proxies = joined;
     }
--- a/crates/whinhill-platform/src/relay/news/tests.rs
+++ b/crates/whinhill-platform/src/relay/news/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use whinhill::interface::{Ep, Settings};
+use whinhill::interface::{EndpointId, Settings};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -42,7 +42,7 @@
         updates
     }
 
-    fn ep(&self, name: &str) -> Ep {
+    fn endpoint(&self, name: &str) -> EndpointId {
         self.names.known(name).unwrap()
     }
 }
@@ -56,11 +56,11 @@
         let mut reader = Reader::new();
         let updates = reader.connect(SNAPSHOT, piece);
         let wanted = [
-            Told::Event(Event::Joined { proxy: 17, zone: 0 }),
-            Told::Event(Event::Joined { proxy: 18, zone: 0 }),
-            Told::Event(Event::Given { slice: 88 }),
-            Told::Event(Event::Stored { slice: 88, ep: reader.ep("s-1") }),
-            Told::Event(Event::Given { slice: 9 }),
+            Told::Event(Event::ProxyJoined { proxy: 17, zone: 0 }),
+            Told::Event(Event::ProxyJoined { proxy: 18, zone: 0 }),
+            Told::Event(Event::SliceAcquired { slice: 88 }),
+            Told::Event(Event::StoredOwner { slice: 88, endpoint: reader.endpoint("s-1") }),
+            Told::Event(Event::SliceAcquired { slice: 9 }),
             Told::Settled { again: false },
         ];
         assert_eq!(updates, wanted, "in pieces of {piece}");
@@ -82,11 +82,11 @@
     let snapshot = "* hello 17 a 21.5 1\r\n* hello 19 a 1 1\r\n* lease 88 1\r\n* line 88 s-2 1.0\r\n* lease 5 1\r\n* line 5 s-2 1.0\r\n";
     let updates = reader.connect(snapshot, 5);
     let wanted = [
-        Told::Event(Event::Joined { proxy: 19, zone: 0 }),
-        Told::Event(Event::Left { proxy: 18 }),
-        Told::Event(Event::Taken { slice: 9 }),
-        Told::Event(Event::Given { slice: 5 }),
-        Told::Event(Event::Stored { slice: 5, ep: reader.ep("s-2") }),
+        Told::Event(Event::ProxyJoined { proxy: 19, zone: 0 }),
+        Told::Event(Event::ProxyLeft { proxy: 18 }),
+        Told::Event(Event::SliceReleased { slice: 9 }),
+        Told::Event(Event::SliceAcquired { slice: 5 }),
+        Told::Event(Event::StoredOwner { slice: 5, endpoint: reader.endpoint("s-2") }),
         Told::Anew { slice: 88, differs: true },
         Told::Settled { again: true },
     ];
@@ -112,10 +112,10 @@
         4,
     );
     let wanted = [
-        Told::Acked { proxy: 17, mark: 905, way: Duration::from_micros(310_400) },
-        Told::Event(Event::Left { proxy: 17 }),
-        Told::Event(Event::Joined { proxy: 17, zone: 0 }),
-        Told::Event(Event::Taken { slice: 9 }),
+        Told::Acked { proxy: 17, ack_seq: 905, transit: Duration::from_micros(310_400) },
+        Told::Event(Event::ProxyLeft { proxy: 17 }),
+        Told::Event(Event::ProxyJoined { proxy: 17, zone: 0 }),
+        Told::Event(Event::SliceReleased { slice: 9 }),
     ];
     assert_eq!(updates, wanted);
 }
@@ -259,7 +259,7 @@
             &mut updates,
         )
         .unwrap();
-    let wanted = [Told::Acked { proxy: 17, mark: 5, way: MS }, Told::Settled { again: true }];
+    let wanted = [Told::Acked { proxy: 17, ack_seq: 5, transit: MS }, Told::Settled { again: true }];
     assert_eq!((before, &updates[before..]), (5, wanted.as_slice()));
     assert!(state.live() && !state.is_open(Place::Next));
     assert_eq!((state.line_of(7), state.line_of(88), state.slices()), (Some("s-2"), Some("s-1"), 2));
@@ -299,7 +299,8 @@
         }
         reader.state.closed(Place::Current);
         let updates = reader.connect("* hello 17 a 21.5 1\r\n* lease 88 1\r\n* line 88 s-1 1.0\r\n", 1000);
-        let departures = [Told::Event(Event::Left { proxy: 18 }), Told::Event(Event::Taken { slice: 9 })];
+        let departures =
+            [Told::Event(Event::ProxyLeft { proxy: 18 }), Told::Event(Event::SliceReleased { slice: 9 })];
         assert_eq!(updates, [departures.as_slice(), &[Told::Settled { again: true }]].concat());
     }
 }
--- a/crates/whinhill-platform/src/relay/orders.rs
+++ b/crates/whinhill-platform/src/relay/orders.rs
@@ -39,12 +39,12 @@
             names.server(index).map(|name| RelayOrder::Line { slice, server: name.to_string(), on })
         };
         match order {
-            Order::Grant { slice, ep } => line(*slice, ep.index, true),
-            Order::Revoke { slice, ep } => line(*slice, ep.index, false),
-            Order::Level { slice, share, methods, tries } => {
-                Some(RelayOrder::Level { slice: *slice, methods: *methods, share: *share, tries: *tries })
+            Order::Grant { slice, endpoint } => line(*slice, endpoint.index, true),
+            Order::Revoke { slice, endpoint } => line(*slice, endpoint.index, false),
+            Order::Level { slice, level, methods, tries } => {
+                Some(RelayOrder::Level { slice: *slice, methods: *methods, share: *level, tries: *tries })
             }
-            Order::Mark { mark } => Some(RelayOrder::Mark(*mark)),
+            Order::RequestAck { ack_seq } => Some(RelayOrder::Mark(*ack_seq)),
             _ => None,
         }
     }
--- a/crates/whinhill-platform/src/reports.rs
+++ b/crates/whinhill-platform/src/reports.rs
@@ -33,18 +33,18 @@
 /// Parses a report of the tries that the proxies of a zone made at a server.
 pub fn parse_try_report(message: &Message, names: &Names) -> Result<Event, ReportError> {
     let zone = names.known_zone(text_field(message, "site")?).ok_or(ReportError::Unknown("site"))?;
-    let ep = names.known(text_field(message, "target")?).ok_or(ReportError::Unknown("target"))?;
+    let endpoint = names.known(text_field(message, "target")?).ok_or(ReportError::Unknown("target"))?;
     let (tries, lost) = (count_field(message, "count")?, count_field(message, "fail")?);
     if lost > tries {
         return Err(ReportError::OutOfRange("fail"));
     }
-    let (wait, interval) = (duration_field(message, "mean")?, interval_field(message)?);
+    let (mean_wait, interval) = (duration_field(message, "mean")?, interval_field(message)?);
     let load = match message.get("util") {
         None | Some(Value::Null) => LoadReport::default(),
         Some(Value::Object(figures)) => parse_load_figures(figures)?,
         Some(_) => return Err(ReportError::Missing("util")),
     };
-    Ok(Event::Met { ep, zone, tries, lost, wait, span: interval, load })
+    Ok(Event::TryReport { endpoint, zone, tries, lost, mean_wait, interval, load })
 }
 
 /// Parses a report of the RPCs that arrived for a slice. Lost RPCs may have arrived in an earlier interval, so there may
@@ -55,7 +55,7 @@
         usize::try_from(number).ok().and_then(|n| names.slice(n)).ok_or(ReportError::Unknown("range"))?;
     let method = names.method(text_field(message, "lane")?).ok_or(ReportError::Unknown("lane"))?;
     let (rpcs, lost) = (count_field(message, "count")?, count_field(message, "fail")?);
-    Ok(Event::Demand { slice, method, rpcs, lost, span: interval_field(message)? })
+    Ok(Event::Demand { slice, method, rpcs, lost, interval: interval_field(message)? })
 }
 
 fn parse_load_figures(figures: &Message) -> Result<LoadReport, ReportError> {
--- a/crates/whinhill-platform/src/reports/tests.rs
+++ b/crates/whinhill-platform/src/reports/tests.rs
@@ -6,7 +6,7 @@
         [("zones", "a"), ("classes.count", "1"), ("classes.0.name", "look"), ("familyInfo.shards", "9")];
     let mut names =
         Names::new(&Settings(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()));
-    names.ep("s-1");
+    names.endpoint("s-1");
     names
 }
 
@@ -19,12 +19,12 @@
 
 #[test]
 fn valid_reports_become_events() {
-    let Event::Met { tries: 212, lost: 3, load, .. } =
+    let Event::TryReport { tries: 212, lost: 3, load, .. } =
         parse_try_report(&message(TRY_REPORT), &names()).unwrap()
     else {
         panic!()
     };
-    assert_eq!((load.cpu, load.in_hand), (Some(0.61), Some(7.0)));
+    assert_eq!((load.cpu, load.in_flight), (Some(0.61), Some(7.0)));
     let Event::Demand { slice: 8, rpcs: 0, lost: 1, .. } = parse_demand(&message(DEMAND), &names()).unwrap()
     else {
         panic!()
@@ -66,5 +66,5 @@
 #[test]
 fn load_report_of_a_server_is_parsed_from_pairs() {
     let load = parse_load_report(b"inflight=7,queue=2,util=0.61,new=x,svc_ms=-3\n");
-    assert_eq!((load.cpu, load.waiting, load.service), (Some(0.61), Some(2.0), None));
+    assert_eq!((load.cpu, load.queued, load.service_time), (Some(0.61), Some(2.0), None));
 }
--- a/crates/whinhill-platform/src/roster.rs
+++ b/crates/whinhill-platform/src/roster.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use whinhill::interface::Listed;
+use whinhill::interface::ListedStatus;
 
 /// Why a list is invalid.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
     /// The zone that the server runs in.
     pub zone: String,
     /// Whether the server is ready, draining or gone.
-    pub listed: Listed,
+    pub status: ListedStatus,
     /// The size of the server relative to the others; it has no unit.
     pub size: f64,
     /// The last start of the server as Unix time in milliseconds; 0 if it was long ago.
@@ -95,10 +95,10 @@
         if wire.name.is_empty() || wire.name.len() > 64 || !wire.name.chars().all(is_allowed) {
             return Err(invalid("name"));
         }
-        let listed = match wire.status.as_str() {
-            "SERVING" => Listed::Ready,
-            "DRAINING" => Listed::Draining,
-            "DELETED" => Listed::Gone,
+        let status = match wire.status.as_str() {
+            "SERVING" => ListedStatus::Ready,
+            "DRAINING" => ListedStatus::Draining,
+            "DELETED" => ListedStatus::Gone,
             _ => return Err(invalid("status")),
         };
         let size = wire.weight.unwrap_or(1.0);
@@ -110,7 +110,7 @@
             return Err(invalid("start"));
         }
         let addr = wire.address.parse().map_err(|_| invalid("address"))?;
-        Ok(Server { addr, listed, size, started_ms: started as u64, name: wire.name, zone: wire.zone })
+        Ok(Server { addr, status, size, started_ms: started as u64, name: wire.name, zone: wire.zone })
     }
 }
 
--- a/crates/whinhill-platform/tests/mangled.rs
+++ b/crates/whinhill-platform/tests/mangled.rs
@@ -39,7 +39,7 @@
         [("zones", "a"), ("classes.count", "1"), ("classes.0.name", "look"), ("familyInfo.shards", "9")];
     let mut names =
         Names::new(&Settings(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()));
-    names.ep("s-1");
+    names.endpoint("s-1");
     names
 }
 
--- a/crates/whinhill-reports/src/lib.rs
+++ b/crates/whinhill-reports/src/lib.rs
@@ -73,9 +73,9 @@
     fn load_or(&self, older: LoadReport) -> LoadReport {
         LoadReport {
             cpu: self.load.cpu.or(older.cpu),
-            in_hand: self.load.in_hand.or(older.in_hand),
-            waiting: self.load.waiting.or(older.waiting),
-            service: self.load.service.or(older.service),
+            in_flight: self.load.in_flight.or(older.in_flight),
+            queued: self.load.queued.or(older.queued),
+            service_time: self.load.service_time.or(older.service_time),
         }
     }
 
--- a/crates/whinhill-simhost/src/wire.rs
+++ b/crates/whinhill-simhost/src/wire.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use whinhill::interface::{
-    Entry, Ep, Event, ListKind, Listed, LoadReport, MethodId, Order, Probe, Settings, SettingsError, SliceId,
+    EndpointId, Event, ListKind, ListedStatus, LoadReport, MethodId, Order, ProbeOutcome, ServerEntry,
+    Settings, SettingsError, SliceId,
 };
 use whinhill_names::{set_figure, Names};
 
@@ -130,83 +131,83 @@
     }
 
     /// Parses one `m` line: an entry of a server list.
-    pub fn parse_entry(&mut self, line: &str) -> Result<Entry, ParseError> {
+    pub fn parse_entry(&mut self, line: &str) -> Result<ServerEntry, ParseError> {
         let mut fields = Fields::new(line);
         if fields.text("the verb")? != "m" {
             return Err(ParseError("a list entry was expected".into()));
         }
-        let ep = self.0.ep(fields.text("task")?);
+        let endpoint = self.0.endpoint(fields.text("task")?);
         let zone = self.0.zone(fields.text("campus")?);
         fields.text("machine")?;
         fields.text("unitGroup")?;
-        let listed = match fields.text("status")? {
-            "U" => Listed::Ready,
-            "L" => Listed::Draining,
-            "D" => Listed::Gone,
+        let status = match fields.text("status")? {
+            "U" => ListedStatus::Ready,
+            "L" => ListedStatus::Draining,
+            "D" => ListedStatus::Gone,
             word => return Err(ParseError(format!("unknown status {word:?}"))),
         };
         let size = fields.optional("size")?.unwrap_or(1.0);
         let started = Some(fields.time("startTime")?).filter(|time| !time.is_zero());
-        Ok(Entry { ep, zone, listed, size, started })
+        Ok(ServerEntry { endpoint, zone, status, size, started })
     }
 
     /// Parses the fields that follow the verb and the instance; `None` for an event that the assigner does not use.
     pub fn parse_event(&mut self, verb: &str, mut fields: Fields) -> Result<Option<Event>, ParseError> {
         Ok(Some(match verb {
             "roundup" => {
-                let wait = fields.time("waitTime")?;
+                let mean_wait = fields.time("waitTime")?;
                 let tries = fields.required("total")?;
                 let zone = self.0.zone(fields.text("campus")?);
-                let ep = self.0.ep(fields.text("task")?);
-                let span = fields.time("span")?;
+                let endpoint = self.0.endpoint(fields.text("task")?);
+                let interval = fields.time("span")?;
                 let lost = fields.required("lost")?;
                 let load = self.parse_load(fields.text("serverStats")?)?;
-                Event::Met { ep, zone, tries, lost, wait, span, load }
+                Event::TryReport { endpoint, zone, tries, lost, mean_wait, interval, load }
             }
             "range_load" => {
                 let slice = self.slice(&mut fields)?;
                 let rpcs = fields.required("total")?;
                 let lost = fields.required("lost")?;
                 let method = self.method(fields.text("qos")?)?;
-                Event::Demand { slice, method, rpcs, lost, span: fields.time("span")? }
+                Event::Demand { slice, method, rpcs, lost, interval: fields.time("span")? }
             }
             "check_result" => {
-                let ep = self.0.ep(fields.text("task")?);
+                let endpoint = self.0.endpoint(fields.text("task")?);
                 let result = match fields.text("code")? {
-                    "S" => Probe::Ok,
-                    "E" => Probe::Aborted,
-                    "F" => Probe::PushedBack,
-                    "T" | "C" | "R" | "X" | "N" => Probe::Unanswered,
+                    "S" => ProbeOutcome::Ok,
+                    "E" => ProbeOutcome::Aborted,
+                    "F" => ProbeOutcome::PushedBack,
+                    "T" | "C" | "R" | "X" | "N" => ProbeOutcome::Unanswered,
                     word => return Err(ParseError(format!("unknown code {word:?}"))),
                 };
                 fields.time("waitTime")?;
-                Event::Probed { ep, result, load: self.parse_load(fields.text("serverStats")?)? }
+                Event::Probed { endpoint, result, load: self.parse_load(fields.text("serverStats")?)? }
             }
-            "dialled_in" => Event::Joined {
+            "dialled_in" => Event::ProxyJoined {
                 proxy: fields.required("clientLb")?,
                 zone: self.0.zone(fields.text("campus")?),
             },
-            "dropped_off" => Event::Left { proxy: fields.required("clientLb")? },
+            "dropped_off" => Event::ProxyLeft { proxy: fields.required("clientLb")? },
             "acked" => {
                 let proxy = fields.required("clientLb")?;
-                let way = fields.time("waitTime")?;
-                Event::Acked { proxy, mark: fields.required("gen")?, way }
+                let transit = fields.time("waitTime")?;
+                Event::Acked { proxy, ack_seq: fields.required("gen")?, transit }
             }
             "custody" => {
                 let slice = self.slice(&mut fields)?;
                 match fields.flag("flag")? {
-                    true => Event::Given { slice },
-                    false => Event::Taken { slice },
+                    true => Event::SliceAcquired { slice },
+                    false => Event::SliceReleased { slice },
                 }
             }
             "on_record" => {
                 let weight: f64 = fields.required("size")?;
-                let ep = self.0.ep(fields.text("task")?);
+                let endpoint = self.0.endpoint(fields.text("task")?);
                 let slice = self.slice(&mut fields)?;
                 if weight <= 0.0 {
                     return Ok(None);
                 }
-                Event::Stored { slice, ep }
+                Event::StoredOwner { slice, endpoint }
             }
             "elapsed" => Event::Timer,
             "memo" | "offered_load" => return Ok(None),
@@ -216,17 +217,21 @@
 
     /// Appends one order to the reply as a line.
     pub fn write_order(&self, out: &mut String, instance: &str, order: &Order) {
-        let name_of = |ep: &Ep| self.0.server(ep.index).unwrap_or("-");
+        let name_of = |endpoint: &EndpointId| self.0.server(endpoint.index).unwrap_or("-");
         let result = match order {
-            Order::Grant { slice, ep } => writeln!(out, "set_line {instance} 1 {slice} {}", name_of(ep)),
-            Order::Revoke { slice, ep } => writeln!(out, "set_line {instance} 0 {slice} {}", name_of(ep)),
-            Order::Level { slice, share, methods, tries } => {
-                writeln!(out, "set_level {instance} {share:.3} {methods} {tries} {slice}")
+            Order::Grant { slice, endpoint } => {
+                writeln!(out, "set_line {instance} 1 {slice} {}", name_of(endpoint))
             }
-            Order::Mark { mark } => writeln!(out, "ask_receipt {instance} {mark} 1"),
-            Order::Watch => writeln!(out, "track {instance} 1"),
-            Order::Fetch => writeln!(out, "reload {instance}"),
-            Order::Probe { ep } => writeln!(out, "touch {instance} {}", name_of(ep)),
+            Order::Revoke { slice, endpoint } => {
+                writeln!(out, "set_line {instance} 0 {slice} {}", name_of(endpoint))
+            }
+            Order::Level { slice, level, methods, tries } => {
+                writeln!(out, "set_level {instance} {level:.3} {methods} {tries} {slice}")
+            }
+            Order::RequestAck { ack_seq } => writeln!(out, "ask_receipt {instance} {ack_seq} 1"),
+            Order::WatchList => writeln!(out, "track {instance} 1"),
+            Order::FetchList => writeln!(out, "reload {instance}"),
+            Order::Probe { endpoint } => writeln!(out, "touch {instance} {}", name_of(endpoint)),
             Order::Wake { after } => writeln!(out, "defer {instance} {:.3} wake", after.as_secs_f64() * 1e3),
             Order::Log { text } => writeln!(out, "print {instance} {text}"),
         };
--- a/crates/whinhill-tables/src/keeper.rs
+++ b/crates/whinhill-tables/src/keeper.rs
@@ -115,8 +115,9 @@
         self.number += 1;
         for order in orders {
             match order {
-                Order::Grant { slice, ep } => {
-                    let (Some(table), Some(owner)) = (self.desired.get_mut(slice), name(ep.index)) else {
+                Order::Grant { slice, endpoint } => {
+                    let (Some(table), Some(owner)) = (self.desired.get_mut(slice), name(endpoint.index))
+                    else {
                         continue;
                     };
                     table.owner = Some(owner.clone());
@@ -133,13 +134,13 @@
                     outcome.slices.insert(*slice);
                     outcome.safety = true;
                 }
-                Order::Level { slice, share, methods, tries } => {
+                Order::Level { slice, level, methods, tries } => {
                     let Some(table) = self.desired.get_mut(slice) else { continue };
-                    outcome.safety |= set_shares(table, *share, *methods, &self.writes);
+                    outcome.safety |= set_shares(table, *level, *methods, &self.writes);
                     table.tries = *tries;
                     outcome.slices.insert(*slice);
                 }
-                Order::Mark { .. } | Order::Watch | Order::Fetch | Order::Probe { .. } => {}
+                Order::RequestAck { .. } | Order::WatchList | Order::FetchList | Order::Probe { .. } => {}
                 Order::Wake { .. } | Order::Log { .. } => {}
             }
         }
--- a/crates/whinhill-tables/src/keeper/tests.rs
+++ b/crates/whinhill-tables/src/keeper/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use whinhill::interface::Ep;
+use whinhill::interface::EndpointId;
 
 const WRITES: [bool; 2] = [false, true];
 
@@ -7,8 +7,8 @@
     Some(format!("10.0.0.{index}:7").into())
 }
 
-fn ep(index: usize) -> Ep {
-    Ep { index, stable: index as u64 }
+fn endpoint(index: usize) -> EndpointId {
+    EndpointId { index, stable_id: index as u64 }
 }
 
 fn keeper() -> Keeper {
@@ -19,18 +19,18 @@
 }
 
 fn stop_writes() -> Order {
-    Order::Level { slice: 1, share: 0.0, methods: 2, tries: 0 }
+    Order::Level { slice: 1, level: 0.0, methods: 2, tries: 0 }
 }
 
 fn open_writes() -> Order {
-    Order::Level { slice: 1, share: 1.0, methods: 2, tries: 0 }
+    Order::Level { slice: 1, level: 1.0, methods: 2, tries: 0 }
 }
 
 #[test]
 fn grant_is_published_with_its_levels_once_it_is_stored() {
     let mut keeper = keeper();
     assert!(keeper.apply(&[stop_writes()], server).safety);
-    let outcome = keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }, open_writes()], server);
+    let outcome = keeper.apply(&[Order::Grant { slice: 1, endpoint: endpoint(2) }, open_writes()], server);
     assert!(outcome.slices.is_empty());
     assert_eq!((keeper.published()[&1].owner.clone(), keeper.published()[&1].shares[1]), (server(0), 0.0));
     let outcome = keeper.granted(&outcome.grants[0]);
@@ -42,13 +42,18 @@
 fn orders_after_an_unstored_grant_are_published_with_it() {
     let mut keeper = keeper();
     keeper.apply(&[stop_writes()], server);
-    let first = keeper.apply(&[Order::Grant { slice: 1, ep: ep(1) }, open_writes()], server).grants.remove(0);
+    let first = keeper
+        .apply(&[Order::Grant { slice: 1, endpoint: endpoint(1) }, open_writes()], server)
+        .grants
+        .remove(0);
     // The next move begins before the grant is stored, so the grant is published with its writes stopped.
     assert!(keeper.apply(&[stop_writes()], server).slices.is_empty());
     keeper.granted(&first);
     assert_eq!((keeper.published()[&1].owner.clone(), keeper.published()[&1].shares[1]), (server(1), 0.0));
-    let second =
-        keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }, open_writes()], server).grants.remove(0);
+    let second = keeper
+        .apply(&[Order::Grant { slice: 1, endpoint: endpoint(2) }, open_writes()], server)
+        .grants
+        .remove(0);
     assert_eq!(keeper.granted(&first), BatchOutcome::default());
     assert!(keeper.granted(&second).faults.is_empty());
 }
@@ -56,7 +61,7 @@
 #[test]
 fn owner_is_not_replaced_while_it_accepts_writes() {
     let mut keeper = keeper();
-    let grant = keeper.apply(&[Order::Grant { slice: 1, ep: ep(2) }], server).grants.remove(0);
+    let grant = keeper.apply(&[Order::Grant { slice: 1, endpoint: endpoint(2) }], server).grants.remove(0);
     let outcome = keeper.granted(&grant);
     assert!(
         matches!(&outcome.faults[..], [Violation::OwnerChangedWhileWritable { slice: 1, .. }]),
@@ -81,7 +86,7 @@
 fn slice_without_custody_ignores_orders_and_stored_grants() {
     let mut keeper = keeper();
     keeper.apply(&[stop_writes()], server);
-    let grant = keeper.apply(&[Order::Grant { slice: 1, ep: ep(1) }], server).grants.remove(0);
+    let grant = keeper.apply(&[Order::Grant { slice: 1, endpoint: endpoint(1) }], server).grants.remove(0);
     keeper.take(1);
     assert_eq!(keeper.granted(&grant), BatchOutcome::default());
     assert_eq!(keeper.apply(&[stop_writes()], server).slices.len(), 0);
--- a/crates/whinhill/src/assigner.rs
+++ b/crates/whinhill/src/assigner.rs
@@ -104,7 +104,7 @@
     /// Applies all that happened at `now` and returns the orders to carry out, those that safety depends on first.
     pub fn handle(&mut self, now: Duration, events: &[Event]) -> Vec<Order> {
         self.now = now;
-        let intervals: Vec<Duration> = events.iter().filter_map(Event::span).collect();
+        let intervals: Vec<Duration> = events.iter().filter_map(Event::interval).collect();
         let reports_start_period = !intervals.is_empty()
             && now + self.cfg.period.mul_f64(EARLY_PERIOD_FRACTION) >= self.next_period_at;
         // When there is more to report than the feed carries, reports come late, and each covers a longer interval.
@@ -118,7 +118,7 @@
         }
         // Requests the list after a failure, and when nothing has come for long.
         if self.subscription.request_at.is_some_and(|at| now >= at) {
-            self.output.extend(self.cfg.watch_list.then_some(Order::Watch));
+            self.output.extend(self.cfg.watch_list.then_some(Order::WatchList));
             self.subscription.request_at = Some(now + self.cfg.max_list_request_interval / 2);
         }
         self.update_suspicions();
@@ -150,33 +150,39 @@
 
     fn apply_event(&mut self, event: &Event) {
         let (now, half_life) = (self.now, self.half_life);
-        event.span().into_iter().for_each(|interval| self.record_report(interval));
+        event.interval().into_iter().for_each(|interval| self.record_report(interval));
         match event {
             Event::List { kind, entries } => self.apply_list(*kind, entries),
-            Event::Met { ep, tries, lost, wait, load, span, .. } => {
-                self.server_mut(*ep).record_tries(now, half_life, (*tries, *lost), *wait, *span);
+            Event::TryReport { endpoint, tries, lost, mean_wait, load, interval, .. } => {
+                self.server_mut(*endpoint).record_tries(
+                    now,
+                    half_life,
+                    (*tries, *lost),
+                    *mean_wait,
+                    *interval,
+                );
                 let batch_began_at = self.report_batches.back().map_or(now, |batch| batch.began_at);
-                let server = self.server_mut(*ep);
+                let server = self.server_mut(*endpoint);
                 server.record_batch_answers(batch_began_at, *tries, *lost, REMEMBERED_BATCHES);
-                self.apply_load_report(*ep, load);
+                self.apply_load_report(*endpoint, load);
             }
-            Event::Demand { slice, method, rpcs, span, .. } => {
+            Event::Demand { slice, method, rpcs, interval, .. } => {
                 let work = self.work_per_rpc(*method) * *rpcs as f64;
-                self.method_rpcs[*method].add(now, half_life, *rpcs as f64, *span);
-                self.slices[*slice].demand.add(now, half_life, work, *span);
+                self.method_rpcs[*method].add(now, half_life, *rpcs as f64, *interval);
+                self.slices[*slice].demand.add(now, half_life, work, *interval);
             }
-            Event::Probed { ep, result, load } => {
-                self.apply_probe_result(*ep, *result);
-                self.apply_load_report(*ep, load);
+            Event::Probed { endpoint, result, load } => {
+                self.apply_probe_result(*endpoint, *result);
+                self.apply_load_report(*endpoint, load);
             }
-            Event::Joined { proxy, zone } => self.proxy_joined(*proxy, *zone),
-            Event::Left { proxy } => self.proxy_left(*proxy),
-            Event::Acked { proxy, mark, way } => self.proxy_acked(*proxy, *mark, *way),
-            Event::Given { slice } => self.acquire_slice(*slice),
-            Event::Taken { slice } => self.slices[*slice] = Slice::default(),
-            Event::Stored { slice, ep } => self.restore_owner(*slice, *ep),
-            Event::Wished { slice, to } => {
-                let destination = self.server_mut(*to).endpoint.index;
+            Event::ProxyJoined { proxy, zone } => self.proxy_joined(*proxy, *zone),
+            Event::ProxyLeft { proxy } => self.proxy_left(*proxy),
+            Event::Acked { proxy, ack_seq, transit } => self.proxy_acked(*proxy, *ack_seq, *transit),
+            Event::SliceAcquired { slice } => self.acquire_slice(*slice),
+            Event::SliceReleased { slice } => self.slices[*slice] = Slice::default(),
+            Event::StoredOwner { slice, endpoint } => self.restore_owner(*slice, *endpoint),
+            Event::MoveRequested { slice, destination } => {
+                let destination = self.server_mut(*destination).endpoint.index;
                 self.plan.requested_moves.insert(*slice, destination);
             }
             Event::Timer => {}
@@ -213,10 +219,10 @@
     }
 
     /// The store names the owner of a slice that was just acquired: it keeps the slice.
-    fn restore_owner(&mut self, slice: SliceId, ep: Ep) {
+    fn restore_owner(&mut self, slice: SliceId, endpoint: EndpointId) {
         // What was known of the owner before custody of its slice says little: its health is evaluated afresh.
         let first_answer_by = self.now + self.cfg.max_transit + self.half_life;
-        let server = self.server_mut(ep);
+        let server = self.server_mut(endpoint);
         server.seen_serving = true;
         server.unhealthy_until = None;
         server.last_ok_at = server.last_ok_at.max(first_answer_by);
--- a/crates/whinhill/src/assigner/admission.rs
+++ b/crates/whinhill/src/assigner/admission.rs
@@ -78,8 +78,8 @@
             let levels = self.target_levels(id, owner, rejects_all, is_period, may_tune);
             for (level, methods) in changed_levels(&self.slices[id].published_levels, &levels) {
                 let is_open_rate = self.cfg.admission == Admission::Rate && level > 0.0;
-                let share = if is_open_rate { ALL_LET_IN } else { level };
-                self.output.push(Order::Level { slice: id, share, methods, tries: self.cfg.tries });
+                let level = if is_open_rate { LEVEL_ADMIT_ALL } else { level };
+                self.output.push(Order::Level { slice: id, level, methods, tries: self.cfg.tries });
                 if may_tune {
                     self.channel.ack_wanted = true;
                     self.channel.tuning_ack_seq = Some(self.channel.last_ack_seq + 1);
--- a/crates/whinhill/src/assigner/admission/tests.rs
+++ b/crates/whinhill/src/assigner/admission/tests.rs
@@ -8,22 +8,30 @@
 /// The load report of a server with four cores: its RPCs in flight, and those of them that are queued.
 fn load(in_flight: f64, queued: f64) -> LoadReport {
     let cpu = Some((in_flight - queued) / 4.0);
-    LoadReport { cpu, in_hand: Some(in_flight), waiting: Some(queued), service: None }
+    LoadReport { cpu, in_flight: Some(in_flight), queued: Some(queued), service_time: None }
 }
 
 /// Runs one period in which server 0 answers `oks` RPCs after `wait` seconds each and then reports its load.
 fn run_period(assigner: &mut Assigner, number: u32, oks: u64, wait: f64, load: LoadReport) -> Vec<Order> {
-    let span = secs(PERIOD);
-    let tries = Event::Met { ep: endpoint(0), zone: 0, tries: oks, lost: 0, wait: secs(wait), span, load };
-    let demand = Event::Demand { slice: 0, method: 0, rpcs: 40, lost: 0, span };
-    let probed = Event::Probed { ep: endpoint(0), result: Probe::Ok, load };
+    let interval = secs(PERIOD);
+    let tries = Event::TryReport {
+        endpoint: endpoint(0),
+        zone: 0,
+        tries: oks,
+        lost: 0,
+        mean_wait: secs(wait),
+        interval,
+        load,
+    };
+    let demand = Event::Demand { slice: 0, method: 0, rpcs: 40, lost: 0, interval };
+    let probed = Event::Probed { endpoint: endpoint(0), result: ProbeOutcome::Ok, load };
     assigner.handle(secs(101.0) + secs(PERIOD) * number, &[tries, demand, probed])
 }
 
 /// The lowest level that is ordered; 1.0 if none is.
 fn lowest_level(orders: &[Order]) -> f64 {
     let levels = orders.iter().filter_map(|order| match order {
-        Order::Level { share, .. } => Some(*share),
+        Order::Level { level, .. } => Some(*level),
         _ => None,
     });
     levels.fold(1.0, f64::min)
@@ -50,13 +58,13 @@
     }
     run_period(&mut assigner, 3, 40, 0.1, load(44.0, 40.0));
     for number in 4..8 {
-        let mark = assigner.channel.last_ack_seq as u16;
-        let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark, way: secs(0.1) });
+        let ack_seq = assigner.channel.last_ack_seq as u16;
+        let acks = [0, 1].map(|proxy| Event::Acked { proxy, ack_seq, transit: secs(0.1) });
         assigner.handle(secs(100.5) + secs(PERIOD) * number, &acks);
         run_period(&mut assigner, number, 30, 0.1, load(2.0, 0.0));
     }
     let published = &assigner.slices[0].published_levels;
-    assert!(published.iter().all(|share| *share >= 0.95), "{published:?}");
+    assert!(published.iter().all(|level| *level >= 0.95), "{published:?}");
 }
 
 /// Slices that were granted after the last report of a cold server must not overload it.
--- a/crates/whinhill/src/assigner/channel.rs
+++ b/crates/whinhill/src/assigner/channel.rs
@@ -15,7 +15,7 @@
 
     /// Lines that the channel carries for a message to every proxy with the orders of this reply so far, and more.
     pub(super) fn message_lines(&self, more_orders: usize) -> f64 {
-        let orders = self.output.iter().filter(|order| order.costs_a_line()).count() + more_orders;
+        let orders = self.output.iter().filter(|order| order.uses_channel_line()).count() + more_orders;
         (orders as f64 + self.cfg.message_overhead_lines) * self.joined_proxies() as f64
     }
 
@@ -36,10 +36,10 @@
         let now = self.now;
         // The acknowledgement shows early that a channel estimated to be filled has emptied.
         let is_filled =
-            self.output.iter().any(Order::costs_a_line) && !self.channel_is_below(PLAN_START_FILL);
+            self.output.iter().any(Order::uses_channel_line) && !self.channel_is_below(PLAN_START_FILL);
         if std::mem::take(&mut self.channel.ack_wanted) || is_filled {
             self.channel.issue_ack_request(now);
-            self.output.push(Order::Mark { mark: (self.channel.last_ack_seq & 0xffff) as u16 });
+            self.output.push(Order::RequestAck { ack_seq: (self.channel.last_ack_seq & 0xffff) as u16 });
         }
         // An overdue acknowledgement shows that more is queued than was estimated: at most all that is unacknowledged.
         let is_overdue =
@@ -55,7 +55,7 @@
         self.channel.updated_at = now;
         self.channel.forget_transmitted_messages();
         self.channel.message_times.retain(|at| now <= *at + self.cfg.message_window);
-        if self.output.iter().any(Order::costs_a_line) {
+        if self.output.iter().any(Order::uses_channel_line) {
             let lines = self.message_lines(0);
             self.channel.queued_lines += lines;
             self.channel.queued_messages.push_back((self.channel.last_ack_seq, lines, now));
--- a/crates/whinhill/src/assigner/evacuation.rs
+++ b/crates/whinhill/src/assigner/evacuation.rs
@@ -8,7 +8,7 @@
     /// can follow.
     pub(super) fn evacuate(&mut self) {
         let is_fenced = self.cfg.fence_writes;
-        let is_not_ready = |owner: usize| self.servers[owner].listed_status != Listed::Ready;
+        let is_not_ready = |owner: usize| self.servers[owner].listed_status != ListedStatus::Ready;
         // Once a drain is listed, reads may go on as long as the end of their line still arrives within the grace,
         // behind what is queued in the channel. Where that would fill the channel, or too little time is left, the
         // lines are revoked at once.
@@ -39,14 +39,19 @@
             let (is_usable, status) = (usable(server), server.listed_status);
             let is_late = self.now >= server.not_ready_since + read_time;
             let revoke = if is_fenced {
-                status != Listed::Draining || server.unhealthy_until.is_some() || server.suspected || is_short
+                status != ListedStatus::Draining
+                    || server.unhealthy_until.is_some()
+                    || server.suspected
+                    || is_short
             } else {
-                status != Listed::Ready && is_late
+                status != ListedStatus::Ready && is_late
             };
             match &self.slices[id].handover {
                 Some(handover) if is_usable || handover.revoked => {}
                 Some(_) if revoke || is_late => self.revoke_line(id),
-                None if drains_start && status != Listed::Ready && self.channel_is_below(DRAIN_STOP_FILL)
+                None if drains_start
+                    && status != ListedStatus::Ready
+                    && self.channel_is_below(DRAIN_STOP_FILL)
                     || leaves_start
                         && (!is_usable || self.is_cold(owner))
                         && self.channel_is_below(LEAVE_STOP_FILL) =>
@@ -104,7 +109,7 @@
                 return load + self.added_load(snapshot, id, *i);
             }
             let free = (1.0 - load).max(MIN_FREE_FRACTION);
-            let draw = (server.endpoint.weight(id) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+            let draw = (server.endpoint.rendezvous_weight(id) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
             -draw.ln() / (free * self.slow_start_factor(server) * server.size)
         };
         let by_fitness_and_score =
--- a/crates/whinhill/src/assigner/evacuation/tests.rs
+++ b/crates/whinhill/src/assigner/evacuation/tests.rs
@@ -22,7 +22,7 @@
     for server in WARM + 1..SERVERS {
         assigner.servers[server].started_at = Some(assigner.now);
     }
-    assigner.servers[DRAINING].listed_status = Listed::Draining;
+    assigner.servers[DRAINING].listed_status = ListedStatus::Draining;
     assigner.servers[DRAINING].not_ready_since = assigner.now;
     assigner.servers[DRAINING].cpu = Some((0.9, assigner.now));
     assigner.servers[WARM].cpu = Some((0.75, assigner.now));
@@ -32,11 +32,11 @@
 /// Runs the drain of all slices; returns the servers that were granted them.
 fn run_drain(assigner: &mut Assigner) -> Vec<usize> {
     let mut orders = assigner.handle(secs(100.0), &[Event::Timer]);
-    let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark: 1, way: secs(0.3) });
+    let acks = [0, 1].map(|proxy| Event::Acked { proxy, ack_seq: 1, transit: secs(0.3) });
     orders.extend(assigner.handle(secs(100.3), &acks));
     orders.extend(assigner.handle(secs(101.6), &[Event::Timer]));
     let destinations = orders.iter().filter_map(|order| match order {
-        Order::Grant { ep, .. } => Some(ep.index),
+        Order::Grant { endpoint, .. } => Some(endpoint.index),
         _ => None,
     });
     destinations.collect()
@@ -63,8 +63,11 @@
     let mut assigner = one_of_five(0);
     assigner.servers[WARM + 1..].iter_mut().for_each(|server| server.seen_serving = false);
     let mut orders = assigner.handle(secs(100.0), &[Event::Timer]);
-    let answer =
-        |server| Event::Probed { ep: endpoint(server), result: Probe::Ok, load: LoadReport::default() };
+    let answer = |server| Event::Probed {
+        endpoint: endpoint(server),
+        result: ProbeOutcome::Ok,
+        load: LoadReport::default(),
+    };
     let answers: Vec<Event> = (WARM + 1..SERVERS).map(answer).collect();
     orders.extend(assigner.handle(secs(100.2), &answers));
     let granted = run_drain(&mut assigner);
--- a/crates/whinhill/src/assigner/handover.rs
+++ b/crates/whinhill/src/assigner/handover.rs
@@ -54,7 +54,7 @@
         let Slice { handover: Some(handover), owner: Some(owner), .. } = &mut self.slices[id] else { return };
         handover.revoked = true;
         handover.revoked_at = Some(self.now);
-        self.output.push(Order::Revoke { slice: id, ep: self.servers[*owner].endpoint });
+        self.output.push(Order::Revoke { slice: id, endpoint: self.servers[*owner].endpoint });
     }
 
     /// A proxy joins and still has the table that it had before: it must be notified of every handover in progress
@@ -168,7 +168,8 @@
             }
             let planned = handover.destination.filter(|to| accepts_slices(&self.servers[*to]));
             let staying = slice.owner.filter(|owner| usable(&self.servers[*owner]) && !handover.revoked);
-            let last_resort = slice.owner.filter(|owner| self.servers[*owner].listed_status == Listed::Ready);
+            let last_resort =
+                slice.owner.filter(|owner| self.servers[*owner].listed_status == ListedStatus::Ready);
             let chosen_now = || self.destination(id, snapshot.get_or_insert_with(|| self.load_snapshot()));
             let to = planned.or(staying).or_else(chosen_now).or(last_resort);
             let Some(to) = to else { continue };
@@ -200,10 +201,10 @@
         // The slice's levels are ordered later in this reply.
         self.channel.reserved_orders += self.cfg.methods.len();
         let endpoint = self.servers[to].endpoint;
-        self.output.extend(needs_line.then_some(Order::Grant { slice: id, ep: endpoint }));
+        self.output.extend(needs_line.then_some(Order::Grant { slice: id, endpoint }));
         // Where slices are not exclusive, the grant adds a line: the former owner's must be revoked.
         let revoked_owner = former_owner.filter(|_| !self.cfg.exclusive);
-        let revoke = |owner: usize| Order::Revoke { slice: id, ep: self.servers[owner].endpoint };
+        let revoke = |owner: usize| Order::Revoke { slice: id, endpoint: self.servers[owner].endpoint };
         self.output.extend(revoked_owner.map(revoke));
     }
 }
--- a/crates/whinhill/src/assigner/handover/property.rs
+++ b/crates/whinhill/src/assigner/handover/property.rs
@@ -86,10 +86,10 @@
 /// Applies one order to a table.
 fn apply(table: &mut Table, order: &Order) {
     match order {
-        Order::Grant { ep, .. } => table.line = Some(ep.index),
-        Order::Revoke { ep, .. } if table.line == Some(ep.index) => table.line = None,
-        Order::Level { share, methods, .. } if methods & (1 << WRITE_METHOD) != 0 => {
-            table.writes = *share > 0.0
+        Order::Grant { endpoint, .. } => table.line = Some(endpoint.index),
+        Order::Revoke { endpoint, .. } if table.line == Some(endpoint.index) => table.line = None,
+        Order::Level { level, methods, .. } if methods & (1 << WRITE_METHOD) != 0 => {
+            table.writes = *level > 0.0
         }
         _ => {}
     }
@@ -126,10 +126,10 @@
         match fault {
             Fault::Drain => {
                 let Some(owner) = owner else { return };
-                let entry = Entry {
-                    ep: endpoint(owner),
+                let entry = ServerEntry {
+                    endpoint: endpoint(owner),
                     zone: 0,
-                    listed: Listed::Draining,
+                    status: ListedStatus::Draining,
                     size: 1.0,
                     started: None,
                 };
@@ -138,7 +138,7 @@
                     .assigner
                     .servers
                     .iter()
-                    .filter(|server| server.listed_status == Listed::Ready)
+                    .filter(|server| server.listed_status == ListedStatus::Ready)
                     .count();
                 if ready > 1 {
                     self.events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
@@ -164,13 +164,13 @@
             let id = index as ProxyId;
             if proxy.noticed_at.take_if(|due| *due <= now).is_some() {
                 proxy.is_joined = false;
-                self.events.push(Event::Left { proxy: id });
+                self.events.push(Event::ProxyLeft { proxy: id });
             }
             if proxy.back_at.take_if(|due| *due <= now).is_some() {
                 proxy.is_up = true;
                 proxy.reads_at = Some(now + transit_steps[index] % MAX_STORE_READ_STEPS);
                 if !std::mem::replace(&mut proxy.is_joined, true) {
-                    self.events.push(Event::Joined { proxy: id, zone: 0 });
+                    self.events.push(Event::ProxyJoined { proxy: id, zone: 0 });
                 }
             }
             if proxy.reads_at.take_if(|due| *due <= now).is_some() {
@@ -179,10 +179,10 @@
             while proxy.inbox.front().is_some_and(|message| message.due <= now) {
                 for order in proxy.inbox.pop_front().into_iter().flat_map(|message| message.orders) {
                     apply(&mut proxy.table, &order);
-                    let way = STEP * transit_steps[index];
+                    let transit = STEP * transit_steps[index];
                     match order {
-                        Order::Mark { mark } if now >= proxy.acks_lost_until => {
-                            self.events.push(Event::Acked { proxy: id, mark, way });
+                        Order::RequestAck { ack_seq } if now >= proxy.acks_lost_until => {
+                            self.events.push(Event::Acked { proxy: id, ack_seq, transit });
                         }
                         _ => {}
                     }
@@ -191,7 +191,7 @@
         }
         self.events.push(Event::Timer);
         let orders = self.assigner.handle(at, &std::mem::take(&mut self.events));
-        let orders: Vec<Order> = orders.into_iter().filter(Order::costs_a_line).collect();
+        let orders: Vec<Order> = orders.into_iter().filter(Order::uses_channel_line).collect();
         if orders.is_empty() {
             return;
         }
--- a/crates/whinhill/src/assigner/handover/tests.rs
+++ b/crates/whinhill/src/assigner/handover/tests.rs
@@ -49,15 +49,15 @@
     /// Removes and returns the acks that have arrived by now.
     fn due(&mut self, now: Duration) -> Vec<Event> {
         let due = self.0.extract_if(.., |(due, ..)| *due <= now);
-        due.map(|(_, proxy, mark)| Event::Acked { proxy, mark, way: ACK_DELAY }).collect()
+        due.map(|(_, proxy, ack_seq)| Event::Acked { proxy, ack_seq, transit: ACK_DELAY }).collect()
     }
 
     /// Sends the acks that `orders` request, from all proxies; from the tested proxy only if `tested_acks` is true.
     fn send(&mut self, now: Duration, orders: &[Order], tested_acks: impl Fn(u16) -> bool) {
         for order in orders {
-            let Order::Mark { mark } = *order else { continue };
-            let proxies = (0..PROXIES).filter(|proxy| *proxy != TESTED_PROXY || tested_acks(mark));
-            self.0.extend(proxies.map(|proxy| (now + ACK_DELAY, proxy, mark)));
+            let Order::RequestAck { ack_seq } = *order else { continue };
+            let proxies = (0..PROXIES).filter(|proxy| *proxy != TESTED_PROXY || tested_acks(ack_seq));
+            self.0.extend(proxies.map(|proxy| (now + ACK_DELAY, proxy, ack_seq)));
         }
     }
 }
@@ -65,14 +65,14 @@
 /// The server of the first grant among some orders.
 fn granted_server(orders: &[Order]) -> Option<usize> {
     orders.iter().find_map(|order| match order {
-        Order::Grant { ep, .. } => Some(ep.index),
+        Order::Grant { endpoint, .. } => Some(endpoint.index),
         _ => None,
     })
 }
 
 /// A list update that changes the status of one server.
-fn list_update(server: usize, listed: Listed) -> Event {
-    let entry = Entry { ep: endpoint(server), zone: 0, listed, size: 1.0, started: None };
+fn list_update(server: usize, status: ListedStatus) -> Event {
+    let entry = ServerEntry { endpoint: endpoint(server), zone: 0, status, size: 1.0, started: None };
     Event::List { kind: ListKind::Changes, entries: vec![entry] }
 }
 
@@ -80,7 +80,7 @@
 fn time_without_line(behavior: Behavior) -> Duration {
     let mut assigner = assigner_with_many_proxies(1);
     let started_at = assigner.now;
-    let mut events = vec![list_update(0, Listed::Draining)];
+    let mut events = vec![list_update(0, ListedStatus::Draining)];
     let (mut pending_acks, mut revoked_at) = (PendingAcks::default(), None);
     let (mut now, mut is_away) = (started_at, false);
     while now < started_at + MAX_RUN_TIME {
@@ -91,15 +91,15 @@
             Behavior::Acks | Behavior::Unresponsive | Behavior::AcksEvery(_) => false,
         };
         if std::mem::replace(&mut is_away, should_be_away) != should_be_away {
-            let joined = Event::Joined { proxy: TESTED_PROXY, zone: 0 };
-            events.push(if should_be_away { Event::Left { proxy: TESTED_PROXY } } else { joined });
+            let joined = Event::ProxyJoined { proxy: TESTED_PROXY, zone: 0 };
+            events.push(if should_be_away { Event::ProxyLeft { proxy: TESTED_PROXY } } else { joined });
         }
         events.extend(pending_acks.due(now));
         events.push(Event::Timer);
         let orders = assigner.handle(now, &std::mem::take(&mut events));
-        pending_acks.send(now, &orders, |mark| match behavior {
+        pending_acks.send(now, &orders, |ack_seq| match behavior {
             Behavior::Acks => true,
-            Behavior::AcksEvery(count) => mark % count == 0,
+            Behavior::AcksEvery(count) => ack_seq % count == 0,
             _ => false,
         });
         if orders.iter().any(|order| matches!(order, Order::Revoke { .. })) {
@@ -182,12 +182,14 @@
             );
             return;
         }
-        let marks = orders.iter().filter_map(|order| match order {
-            Order::Mark { mark } => Some(*mark),
+        let ack_seqs = orders.iter().filter_map(|order| match order {
+            Order::RequestAck { ack_seq } => Some(*ack_seq),
             _ => None,
         });
-        events
-            .extend(marks.flat_map(|mark| [0, 1].map(|proxy| Event::Acked { proxy, mark, way: secs(0.3) })));
+        events.extend(
+            ack_seqs
+                .flat_map(|ack_seq| [0, 1].map(|proxy| Event::Acked { proxy, ack_seq, transit: secs(0.3) })),
+        );
         events.push(Event::Timer);
     }
     panic!("no grant");
@@ -199,9 +201,12 @@
     let mut assigner = assigner_with_many_proxies(1);
     assigner.cfg.total_proxies = PROXIES as usize;
     let started_at = assigner.now;
-    let mut events = vec![Event::Given { slice: 0 }];
+    let mut events = vec![Event::SliceAcquired { slice: 0 }];
     if stored {
-        events.extend([Event::Stored { slice: 0, ep: endpoint(0) }, list_update(0, Listed::Gone)]);
+        events.extend([
+            Event::StoredOwner { slice: 0, endpoint: endpoint(0) },
+            list_update(0, ListedStatus::Gone),
+        ]);
     }
     let (mut pending_acks, mut now) = (PendingAcks::default(), started_at);
     while now < started_at + MAX_RUN_TIME {
@@ -240,7 +245,7 @@
         let mut events = pending_acks.due(now);
         events.push(Event::Timer);
         if now - started_at == secs(3.0) {
-            events.push(list_update(1, Listed::Draining));
+            events.push(list_update(1, ListedStatus::Draining));
         }
         let orders = assigner.handle(now, &events);
         if let Some(to) = granted_server(&orders) {
@@ -260,7 +265,7 @@
     let started_at = assigner.now;
     assigner.start_handover(0, Some(1), false);
     assigner.handle(started_at, &[Event::Timer]);
-    let ack = |proxy| Event::Acked { proxy, mark: 1, way: secs(0.1) };
+    let ack = |proxy| Event::Acked { proxy, ack_seq: 1, transit: secs(0.1) };
     let stop_sent_by =
         |assigner: &Assigner| assigner.slices[0].handover.as_ref().and_then(|handover| handover.stop_sent_by);
     assigner.handle(started_at + secs(0.1), &[ack(0)]);
--- a/crates/whinhill/src/assigner/health.rs
+++ b/crates/whinhill/src/assigner/health.rs
@@ -63,7 +63,7 @@
             server.unanswered_probes >= DEAD_AFTER_MISSES && has_no_answers && !server.probes_unreliable;
         let has_stopped_serving = symptoms.no_recent_answers || is_dead || symptoms.failing;
         if server.dropped_from_list && has_stopped_serving && is_reachable {
-            server.listed_status = Listed::Gone;
+            server.listed_status = ListedStatus::Gone;
             server.dropped_from_list = false;
             server.not_ready_since = now;
         }
@@ -105,7 +105,7 @@
         let is_release = self
             .servers
             .iter()
-            .any(|s| s.listed_status == Listed::Draining || self.slow_start_factor(s) < 1.0);
+            .any(|s| s.listed_status == ListedStatus::Draining || self.slow_start_factor(s) < 1.0);
         let service_times = self.ready_servers().filter(|_| !is_release).filter_map(|s| s.service_time);
         let usual = median(service_times.collect());
         self.slow_service_time = usual.map_or(f64::MAX, |usual| SLOW_SERVICE_FACTOR * usual);
@@ -214,7 +214,7 @@
 
 /// Whether slices may stay at the server.
 pub(super) fn usable(server: &Server) -> bool {
-    server.listed_status == Listed::Ready && server.unhealthy_until.is_none()
+    server.listed_status == ListedStatus::Ready && server.unhealthy_until.is_none()
 }
 
 #[cfg(test)]
--- a/crates/whinhill/src/assigner/health/tests.rs
+++ b/crates/whinhill/src/assigner/health/tests.rs
@@ -6,15 +6,18 @@
 use super::*;
 
 /// Delivers the result of a probe of a server at a time in seconds; returns the orders.
-fn deliver_probe_result(assigner: &mut Assigner, at: f64, server: usize, result: Probe) -> Vec<Order> {
-    assigner.handle(secs(at), &[Event::Probed { ep: endpoint(server), result, load: LoadReport::default() }])
+fn deliver_probe_result(assigner: &mut Assigner, at: f64, server: usize, result: ProbeOutcome) -> Vec<Order> {
+    assigner.handle(
+        secs(at),
+        &[Event::Probed { endpoint: endpoint(server), result, load: LoadReport::default() }],
+    )
 }
 
 /// Lets a server miss two probes and have no ok answers reported until that is conclusive.
 fn make_unresponsive(assigner: &mut Assigner, server: usize) {
     let since = assigner.now.as_secs_f64() + 0.1;
-    deliver_probe_result(assigner, since, server, Probe::Unanswered);
-    deliver_probe_result(assigner, since + 0.3, server, Probe::Unanswered);
+    deliver_probe_result(assigner, since, server, ProbeOutcome::Unanswered);
+    deliver_probe_result(assigner, since + 0.3, server, ProbeOutcome::Unanswered);
     assigner.now += HALF_OPEN_DELAY + assigner.half_life * (REPORT_LAG_INTERVALS + 1);
     assigner.evaluate_health();
 }
@@ -32,29 +35,29 @@
 /// The slices, shares and methods of the levels among some orders.
 fn ordered_levels(orders: &[Order]) -> Vec<(SliceId, f64, MethodMask)> {
     let level = |order: &Order| match order {
-        Order::Level { slice, share, methods, .. } => Some((*slice, *share, *methods)),
+        Order::Level { slice, level, methods, .. } => Some((*slice, *level, *methods)),
         _ => None,
     };
     orders.iter().filter_map(level).collect()
 }
 
 fn orders_probe(orders: &[Order], server: usize) -> bool {
-    orders.contains(&Order::Probe { ep: endpoint(server) })
+    orders.contains(&Order::Probe { endpoint: endpoint(server) })
 }
 
 fn revokes_line(orders: &[Order], slice: SliceId, server: usize) -> bool {
-    orders.contains(&Order::Revoke { slice, ep: endpoint(server) })
+    orders.contains(&Order::Revoke { slice, endpoint: endpoint(server) })
 }
 
 #[test]
 fn server_that_misses_probe_is_rejected_and_probed_again_at_once() {
     let mut assigner = assigner_with_probing(4);
-    let orders = deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    let orders = deliver_probe_result(&mut assigner, 100.1, 0, ProbeOutcome::Unanswered);
     assert!(orders_probe(&orders, 0));
     // One order for all methods.
     assert_eq!(ordered_levels(&orders), [(0, 0.0, 0b11)]);
     assert!(!revokes_line(&orders, 0, 0));
-    let orders = deliver_probe_result(&mut assigner, 100.2, 0, Probe::Ok);
+    let orders = deliver_probe_result(&mut assigner, 100.2, 0, ProbeOutcome::Ok);
     assert_eq!(ordered_levels(&orders), [(0, 1.0, 0b11)]);
     assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
@@ -74,13 +77,13 @@
     for at in [100.1, 101.0, 102.0, 103.0] {
         assigner.now = secs(at);
         report_tries(&mut assigner, 0, 20, 0, 0.1);
-        deliver_probe_result(&mut assigner, at, 0, Probe::Unanswered);
+        deliver_probe_result(&mut assigner, at, 0, ProbeOutcome::Unanswered);
         assert!(assigner.slices[0].rejects_all);
     }
     // The RPCs of this report were answered after the first missed probe.
     assigner.now = secs(103.2);
     report_tries(&mut assigner, 0, 20, 0, 0.1);
-    deliver_probe_result(&mut assigner, 103.2, 0, Probe::Unanswered);
+    deliver_probe_result(&mut assigner, 103.2, 0, ProbeOutcome::Unanswered);
     assert!(!assigner.slices[0].rejects_all);
     assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
@@ -88,7 +91,7 @@
 #[test]
 fn suspected_server_has_no_headroom() {
     let mut assigner = assigner_with_probing(3);
-    deliver_probe_result(&mut assigner, 100.1, 1, Probe::Unanswered);
+    deliver_probe_result(&mut assigner, 100.1, 1, ProbeOutcome::Unanswered);
     assert_eq!(assigner.load_snapshot().headroom[1], 0.0);
 }
 
@@ -98,9 +101,9 @@
     assigner.servers[0].baseline_wait = Some(0.1);
     report_tries(&mut assigner, 0, 20, 0, 0.6);
     assigner.evaluate_servers();
-    let orders = deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    let orders = deliver_probe_result(&mut assigner, 100.1, 0, ProbeOutcome::Unanswered);
     assert_eq!(ordered_levels(&orders), []);
-    deliver_probe_result(&mut assigner, 100.4, 0, Probe::Unanswered);
+    deliver_probe_result(&mut assigner, 100.4, 0, ProbeOutcome::Unanswered);
     assert_eq!(assigner.servers[0].unhealthy_until, None);
 }
 
@@ -109,7 +112,9 @@
     let mut assigner = assigner_with_probing(4);
     (0..2).for_each(|server| assigner.servers[server].zone = 1);
     for at in [100.1, 100.4] {
-        (0..2).for_each(|server| drop(deliver_probe_result(&mut assigner, at, server, Probe::Unanswered)));
+        (0..2).for_each(|server| {
+            drop(deliver_probe_result(&mut assigner, at, server, ProbeOutcome::Unanswered))
+        });
     }
     assert!(assigner.slices[..2].iter().all(|slice| slice.rejects_all && slice.handover.is_none()));
     // The zone's proxies stay connected, so the servers themselves have failed.
@@ -132,7 +137,7 @@
     assert_eq!(assigner.servers[0].unhealthy_until, None);
     let at = assigner.now.as_secs_f64();
     (1..4).for_each(|step| {
-        drop(deliver_probe_result(&mut assigner, at + f64::from(step) * 0.1, 0, Probe::Unanswered))
+        drop(deliver_probe_result(&mut assigner, at + f64::from(step) * 0.1, 0, ProbeOutcome::Unanswered))
     });
     assert_eq!(assigner.servers[0].unhealthy_until, None);
     assert!(!assigner.servers[0].suspected);
@@ -168,9 +173,9 @@
 #[test]
 fn server_that_pushes_probes_back_is_not_rejected() {
     let mut assigner = assigner_with_probing(4);
-    deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    deliver_probe_result(&mut assigner, 100.1, 0, ProbeOutcome::Unanswered);
     for at in [100.2, 100.5, 100.8, 101.1, 102.0, 103.0] {
-        deliver_probe_result(&mut assigner, at, 0, Probe::PushedBack);
+        deliver_probe_result(&mut assigner, at, 0, ProbeOutcome::PushedBack);
     }
     (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
     assigner.evaluate_health();
@@ -202,7 +207,7 @@
             assigner.next_period_at = secs(at);
         }
         for server in 0..4 {
-            let result = if server == 0 { Probe::Unanswered } else { Probe::Ok };
+            let result = if server == 0 { ProbeOutcome::Unanswered } else { ProbeOutcome::Ok };
             if tick % 5 == 0 {
                 deliver_probe_result(&mut assigner, at, server, result);
             }
@@ -217,8 +222,14 @@
 #[test]
 fn unresponsive_server_that_drains_has_line_revoked_at_once() {
     let mut assigner = assigner_with_probing(4);
-    deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
-    let entry = Entry { ep: endpoint(0), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
+    deliver_probe_result(&mut assigner, 100.1, 0, ProbeOutcome::Unanswered);
+    let entry = ServerEntry {
+        endpoint: endpoint(0),
+        zone: 0,
+        status: ListedStatus::Draining,
+        size: 1.0,
+        started: None,
+    };
     let orders =
         assigner.handle(secs(100.2), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }]);
     // Its line is revoked in the same message.
@@ -234,8 +245,8 @@
     assigner.servers[0].mark_unhealthy(secs(61.0), secs(110.0));
     for server in 1..4 {
         assigner.servers[server].last_ok_at = secs(98.0);
-        deliver_probe_result(&mut assigner, 100.1, server, Probe::Unanswered);
-        deliver_probe_result(&mut assigner, 100.4, server, Probe::Unanswered);
+        deliver_probe_result(&mut assigner, 100.1, server, ProbeOutcome::Unanswered);
+        deliver_probe_result(&mut assigner, 100.4, server, ProbeOutcome::Unanswered);
     }
     (4..8).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
     assigner.evaluate_health();
@@ -249,16 +260,18 @@
 fn chance_miss_elsewhere_does_not_readmit_disconnected_zone() {
     let mut assigner = assigner_with_probing(9);
     (0..5).for_each(|server| assigner.servers[server].zone = 1);
-    (0..5).for_each(|server| drop(deliver_probe_result(&mut assigner, 100.1, server, Probe::Unanswered)));
+    (0..5).for_each(|server| {
+        drop(deliver_probe_result(&mut assigner, 100.1, server, ProbeOutcome::Unanswered))
+    });
     assert!(assigner.slices[..5].iter().all(|slice| slice.rejects_all));
-    let orders = deliver_probe_result(&mut assigner, 100.2, 8, Probe::Unanswered);
+    let orders = deliver_probe_result(&mut assigner, 100.2, 8, ProbeOutcome::Unanswered);
     assert!(assigner.slices[..5].iter().all(|slice| slice.rejects_all), "{:?}", ordered_levels(&orders));
 }
 
 #[test]
 fn suspected_server_is_no_destination_when_no_server_has_headroom() {
     let mut assigner = assigner_with_probing(4);
-    deliver_probe_result(&mut assigner, 100.1, 1, Probe::Unanswered);
+    deliver_probe_result(&mut assigner, 100.1, 1, ProbeOutcome::Unanswered);
     let mut snapshot = assigner.load_snapshot();
     snapshot.headroom = vec![0.0; 4];
     snapshot.loads = vec![1.0, 0.1, 1.0, 1.0];
@@ -269,7 +282,7 @@
 fn batch_starts_no_move_to_suspected_server() {
     let mut assigner = assigner_with_probing(4);
     assigner.plan.pending_batches.push_back(vec![(0, 1)]);
-    deliver_probe_result(&mut assigner, 100.1, 1, Probe::Unanswered);
+    deliver_probe_result(&mut assigner, 100.1, 1, ProbeOutcome::Unanswered);
     assert!(assigner.slices[0].handover.is_none());
 }
 
@@ -277,7 +290,7 @@
 fn no_levels_are_ordered_for_suspected_server_when_admission_is_off() {
     let mut assigner = assigner_with_probing(4);
     assigner.cfg.admission = Admission::Off;
-    assert_eq!(ordered_levels(&deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered)), []);
+    assert_eq!(ordered_levels(&deliver_probe_result(&mut assigner, 100.1, 0, ProbeOutcome::Unanswered)), []);
 }
 
 /// 200 servers that miss up to 0.8 % of their probes by chance, with three rounds of probes a second, must not fill
@@ -311,28 +324,32 @@
             let mut events = Vec::new();
             for server in scheduled.into_iter().chain(repeats_now) {
                 let missed = rng.random_range(0.0..1.0) < miss_probability;
-                let result = if missed { Probe::Unanswered } else { Probe::Ok };
+                let result = if missed { ProbeOutcome::Unanswered } else { ProbeOutcome::Ok };
                 repeats.extend(missed.then_some(server));
-                events.push(Event::Probed { ep: endpoint(server), result, load: LoadReport::default() });
+                events.push(Event::Probed {
+                    endpoint: endpoint(server),
+                    result,
+                    load: LoadReport::default(),
+                });
             }
             if tick % 30 == 0 {
                 (0..200).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
             }
             // Every proxy acknowledges after 0.4 s.
             while acks.front().is_some_and(|(sent, _)| tick >= sent + 12) {
-                let (_, mark) = acks.pop_front().unwrap();
-                events.extend((0..joined).map(|proxy| Event::Acked { proxy, mark, way: secs(0.4) }));
+                let (_, ack_seq) = acks.pop_front().unwrap();
+                events.extend((0..joined).map(|proxy| Event::Acked { proxy, ack_seq, transit: secs(0.4) }));
             }
             assigner.now = secs(at);
             let is_blocked = !assigner.channel_is_below(drain_start_fill);
             let orders = assigner.handle(secs(at), &events);
             acks.extend(orders.iter().filter_map(|order| match order {
-                Order::Mark { mark } => Some((tick, *mark)),
+                Order::RequestAck { ack_seq } => Some((tick, *ack_seq)),
                 _ => None,
             }));
             blocked_in_a_row = if is_blocked { blocked_in_a_row + 1 } else { 0 };
             longest_blocked = longest_blocked.max(blocked_in_a_row);
-            let line_orders = orders.iter().filter(|order| order.costs_a_line()).count();
+            let line_orders = orders.iter().filter(|order| order.uses_channel_line()).count();
             lines += if line_orders > 0 {
                 (line_orders as f64 + assigner.cfg.message_overhead_lines) * joined as f64
             } else {
@@ -362,20 +379,22 @@
     assigner.next_probes_at = secs(200.0);
     let all_results = |result| -> Vec<Event> {
         (0..95)
-            .map(|server| Event::Probed { ep: endpoint(server), result, load: LoadReport::default() })
+            .map(|server| Event::Probed { endpoint: endpoint(server), result, load: LoadReport::default() })
             .collect()
     };
     let mut at = 100.1;
     let acks_of = |orders: &[Order]| -> Vec<Event> {
-        let marks = orders.iter().filter_map(|order| match order {
-            Order::Mark { mark } => Some(*mark),
+        let ack_seqs = orders.iter().filter_map(|order| match order {
+            Order::RequestAck { ack_seq } => Some(*ack_seq),
             _ => None,
         });
-        marks
-            .flat_map(|mark| (0..480).map(move |proxy| Event::Acked { proxy, mark, way: secs(0.4) }))
+        ack_seqs
+            .flat_map(|ack_seq| {
+                (0..480).map(move |proxy| Event::Acked { proxy, ack_seq, transit: secs(0.4) })
+            })
             .collect()
     };
-    let mut acks = acks_of(&assigner.handle(secs(at), &all_results(Probe::Unanswered)));
+    let mut acks = acks_of(&assigner.handle(secs(at), &all_results(ProbeOutcome::Unanswered)));
     for _ in 0..12 {
         at += 0.4;
         acks.push(Event::Timer);
@@ -385,10 +404,16 @@
     // Acks arrive 0.4 s after they are requested.
     let mut scheduled_acks: Vec<(f64, Vec<Event>)> = Vec::new();
     at += 0.1;
-    scheduled_acks.push((at + 0.4, acks_of(&assigner.handle(secs(at), &all_results(Probe::Ok)))));
+    scheduled_acks.push((at + 0.4, acks_of(&assigner.handle(secs(at), &all_results(ProbeOutcome::Ok)))));
     let readmitted = rejected - assigner.slices.iter().filter(|slice| slice.rejects_all).count();
     at += 0.05;
-    let entry = Entry { ep: endpoint(150), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
+    let entry = ServerEntry {
+        endpoint: endpoint(150),
+        zone: 0,
+        status: ListedStatus::Draining,
+        size: 1.0,
+        started: None,
+    };
     let orders = assigner.handle(secs(at), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }]);
     scheduled_acks.push((at + 0.4, acks_of(&orders)));
     let drain_started = |assigner: &Assigner| assigner.slices[150].handover.is_some();
@@ -414,21 +439,29 @@
 fn no_server_is_probed_or_suspected_when_probing_is_forbidden() {
     let mut assigner = assigner_with_probing(4);
     assigner.cfg.may_probe = false;
-    let orders = deliver_probe_result(&mut assigner, 100.1, 0, Probe::Unanswered);
+    let orders = deliver_probe_result(&mut assigner, 100.1, 0, ProbeOutcome::Unanswered);
     assert!(!orders_probe(&orders, 0) && ordered_levels(&orders).is_empty(), "{orders:?}");
 }
 
 /// Reports of one interval: RPCs come for each slice, and all servers but the `unresponsive` ones answer them.
 fn report_interval(assigner: &mut Assigner, at: f64, unresponsive: &[usize]) {
-    let span = secs(1.0);
+    let interval = secs(1.0);
     let mut events = Vec::new();
     for (slice, owner) in
         assigner.slices.iter().enumerate().filter_map(|(id, slice)| Some((id, slice.owner?)))
     {
-        events.push(Event::Demand { slice, method: 0, rpcs: 10, lost: 0, span });
+        events.push(Event::Demand { slice, method: 0, rpcs: 10, lost: 0, interval });
         let tries = if unresponsive.contains(&owner) { 0 } else { 10 };
         let load = LoadReport::default();
-        events.push(Event::Met { ep: endpoint(owner), zone: 0, tries, lost: 0, wait: secs(0.1), span, load });
+        events.push(Event::TryReport {
+            endpoint: endpoint(owner),
+            zone: 0,
+            tries,
+            lost: 0,
+            mean_wait: secs(0.1),
+            interval,
+            load,
+        });
     }
     assigner.handle(secs(at), &events);
 }
@@ -437,9 +470,10 @@
 fn answer_probes(assigner: &mut Assigner, at: f64, hanging: usize, hanging_in_flight: f64) {
     let load = |server| {
         let in_flight = if server == hanging { hanging_in_flight } else { 1.0 };
-        LoadReport { in_hand: Some(in_flight), waiting: Some(0.0), cpu: Some(0.1), service: None }
+        LoadReport { in_flight: Some(in_flight), queued: Some(0.0), cpu: Some(0.1), service_time: None }
     };
-    let answer = |server| Event::Probed { ep: endpoint(server), result: Probe::Ok, load: load(server) };
+    let answer =
+        |server| Event::Probed { endpoint: endpoint(server), result: ProbeOutcome::Ok, load: load(server) };
     let events: Vec<Event> = (0..assigner.servers.len()).map(answer).collect();
     assigner.handle(secs(at), &events);
 }
@@ -499,13 +533,13 @@
             0.0 => tries_in_first_report as u64,
             _ => 10,
         };
-        let report = |server: usize, tries| Event::Met {
-            ep: endpoint(server),
+        let report = |server: usize, tries| Event::TryReport {
+            endpoint: endpoint(server),
             zone: 0,
             tries,
             lost: 0,
-            wait: secs(0.1),
-            span: secs(1.0),
+            mean_wait: secs(0.1),
+            interval: secs(1.0),
             load: LoadReport::default(),
         };
         let mut events: Vec<Event> = (0..3).map(|server| report(server, 10)).collect();
@@ -515,7 +549,7 @@
             method: 0,
             rpcs: 10,
             lost: 0,
-            span: secs(1.0),
+            interval: secs(1.0),
         }));
         assigner.handle(secs(at), &events);
     }
@@ -528,7 +562,7 @@
     assigner.next_probes_at = secs(104.1);
     assigner.handle(secs(104.1), &[Event::Timer]);
     for at in [104.8, 104.9] {
-        deliver_probe_result(assigner, at, 0, Probe::Unanswered);
+        deliver_probe_result(assigner, at, 0, ProbeOutcome::Unanswered);
     }
     assert!(assigner.slices[0].rejects_all);
 }
--- a/crates/whinhill/src/assigner/introspection.rs
+++ b/crates/whinhill/src/assigner/introspection.rs
@@ -15,40 +15,42 @@
     /// A server's health; `Gone` for an unknown index.
     pub fn health(&self, server: usize) -> Health {
         match self.servers.get(server) {
-            Some(s) if s.listed_status == Listed::Draining => Health::Draining,
-            Some(s) if s.listed_status == Listed::Ready && s.unhealthy_until.is_some() => Health::Sick,
-            Some(s) if s.listed_status == Listed::Ready && self.slow_start_factor(s) < 1.0 => Health::Cold,
-            Some(s) if s.listed_status == Listed::Ready => Health::Ready,
+            Some(s) if s.listed_status == ListedStatus::Draining => Health::Draining,
+            Some(s) if s.listed_status == ListedStatus::Ready && s.unhealthy_until.is_some() => Health::Sick,
+            Some(s) if s.listed_status == ListedStatus::Ready && self.slow_start_factor(s) < 1.0 => {
+                Health::Cold
+            }
+            Some(s) if s.listed_status == ListedStatus::Ready => Health::Ready,
             _ => Health::Gone,
         }
     }
 
     /// Whether a handover of the slice is in progress.
-    pub fn moving(&self, slice: SliceId) -> bool {
+    pub fn has_handover(&self, slice: SliceId) -> bool {
         self.slices.get(slice).is_some_and(|s| s.handover.is_some())
     }
 
     /// The handovers in progress, and totals of those that have ended.
-    pub fn handovers(&self) -> HandoverSummary {
+    pub fn handover_summary(&self) -> HandoverSummary {
         let mut in_progress: Vec<&Handover> =
             self.slices.iter().filter_map(|s| s.handover.as_ref()).collect();
         in_progress.sort_by_key(|handover| handover.started_at);
-        let mut awaited = Vec::new();
+        let mut awaited_proxies = Vec::new();
         for (proxy, ack) in in_progress.iter().flat_map(|handover| &handover.acks) {
             let is_pending = ack.state != AckState::Acknowledged;
-            if is_pending && !awaited.contains(proxy) && awaited.len() < MAX_SUMMARY_PROXIES {
-                awaited.push(*proxy);
+            if is_pending && !awaited_proxies.contains(proxy) && awaited_proxies.len() < MAX_SUMMARY_PROXIES {
+                awaited_proxies.push(*proxy);
             }
         }
         let revoked: Vec<Duration> = in_progress.iter().filter_map(|handover| handover.revoked_at).collect();
         let first_revoked = revoked.iter().min();
         HandoverSummary {
-            under_way: in_progress.len(),
+            in_progress: in_progress.len(),
             without_line: revoked.len(),
-            without_line_for: first_revoked.map_or(Duration::ZERO, |at| self.now.saturating_sub(*at)),
-            awaited,
-            granted: self.grant_count,
-            longest: self.longest_handover,
+            longest_without_line: first_revoked.map_or(Duration::ZERO, |at| self.now.saturating_sub(*at)),
+            awaited_proxies,
+            granted_count: self.grant_count,
+            longest_duration: self.longest_handover,
         }
     }
 
@@ -81,12 +83,12 @@
     }
 
     /// The estimated load of each server, as a fraction of its present capacity.
-    pub fn loads(&self) -> Vec<f64> {
+    pub fn estimated_loads(&self) -> Vec<f64> {
         self.load_snapshot().loads
     }
 
     /// Lines that are estimated to be queued in the channel to the proxies.
-    pub fn channel_lines(&self) -> f64 {
+    pub fn queued_lines(&self) -> f64 {
         self.channel.queued_lines
     }
 
@@ -96,7 +98,7 @@
     }
 
     /// Whether nothing refers to a server any more, so that its index may be reused for another one.
-    pub fn is_done_with(&self, server: usize) -> bool {
+    pub fn can_reuse_index(&self, server: usize) -> bool {
         let is_named = |s: &Slice| {
             s.owner == Some(server) || s.handover.as_ref().is_some_and(|h| h.destination == Some(server))
         };
--- a/crates/whinhill/src/assigner/list.rs
+++ b/crates/whinhill/src/assigner/list.rs
@@ -4,12 +4,12 @@
 
 impl Assigner {
     /// The state of a server; a new one for an endpoint that was not met before.
-    pub(super) fn server_mut(&mut self, ep: Ep) -> &mut Server {
-        self.servers.resize_with(self.servers.len().max(ep.index + 1), Server::default);
-        let server = &mut self.servers[ep.index];
-        if server.endpoint.stable != ep.stable {
+    pub(super) fn server_mut(&mut self, endpoint: EndpointId) -> &mut Server {
+        self.servers.resize_with(self.servers.len().max(endpoint.index + 1), Server::default);
+        let server = &mut self.servers[endpoint.index];
+        if server.endpoint.stable_id != endpoint.stable_id {
             // The index was reused for another server: nothing that is known of the former one holds for it.
-            *server = Server { endpoint: ep, ..Server::default() };
+            *server = Server { endpoint, ..Server::default() };
             self.rendezvous_order.iter_mut().for_each(Vec::clear);
         }
         server
@@ -19,17 +19,17 @@
     pub(super) fn rank_servers(&mut self) {
         for (id, order) in self.rendezvous_order.iter_mut().enumerate() {
             *order = (0..self.servers.len()).collect();
-            order.sort_by_cached_key(|i| Reverse(self.servers[*i].endpoint.weight(id)));
+            order.sort_by_cached_key(|i| Reverse(self.servers[*i].endpoint.rendezvous_weight(id)));
         }
     }
 
     /// The servers that are listed as ready and were seen to serve: a list may name servers that don't exist.
     pub(super) fn ready_servers(&self) -> impl Iterator<Item = &Server> {
-        self.servers.iter().filter(|s| s.listed_status == Listed::Ready && s.seen_serving)
+        self.servers.iter().filter(|s| s.listed_status == ListedStatus::Ready && s.seen_serving)
     }
 
     /// Applies a list of servers, or the changes of one, and sets when the list is requested again.
-    pub(super) fn apply_list(&mut self, kind: ListKind, entries: &[Entry]) {
+    pub(super) fn apply_list(&mut self, kind: ListKind, entries: &[ServerEntry]) {
         let now = self.now;
         let max_interval = self.cfg.max_list_request_interval;
         if kind == ListKind::Failed {
@@ -40,22 +40,23 @@
             return;
         }
         let is_stored = kind == ListKind::Stored;
-        self.output.extend((is_stored && self.cfg.watch_list).then_some(Order::Watch));
+        self.output.extend((is_stored && self.cfg.watch_list).then_some(Order::WatchList));
         let next_request = now + if is_stored { max_interval / 2 } else { max_interval * 2 };
         self.subscription.failures = 0;
         self.subscription.request_at = Some(next_request);
 
-        let named: BTreeSet<usize> = entries.iter().map(|e| e.ep.index).collect();
+        let named: BTreeSet<usize> = entries.iter().map(|e| e.endpoint.index).collect();
         let is_absent = |s: &&Server| kind != ListKind::Changes && !named.contains(&s.endpoint.index);
-        let absent: Vec<Entry> = self.servers.iter().filter(is_absent).map(Server::gone_entry).collect();
+        let absent: Vec<ServerEntry> =
+            self.servers.iter().filter(is_absent).map(Server::gone_entry).collect();
         let gone_is_advisory = self.cfg.gone_is_advisory;
         let mut has_restarted = false;
         for entry in entries.iter().chain(&absent) {
-            let server = self.server_mut(entry.ep);
-            if entry.listed == Listed::Ready && entry.started > server.started_at {
+            let server = self.server_mut(entry.endpoint);
+            if entry.status == ListedStatus::Ready && entry.started > server.started_at {
                 let seen_serving = server.seen_serving;
                 *server = Server {
-                    endpoint: entry.ep,
+                    endpoint: entry.endpoint,
                     started_at: entry.started,
                     seen_serving,
                     ..Server::default()
@@ -63,14 +64,15 @@
                 has_restarted = true;
             }
             // A list may be wrong: where it is advisory, a dropped server that serves stays until its answers end too.
-            server.dropped_from_list =
-                gone_is_advisory && entry.listed == Listed::Gone && server.listed_status == Listed::Ready;
-            if entry.listed == Listed::Ready && server.listed_status == Listed::Gone {
+            server.dropped_from_list = gone_is_advisory
+                && entry.status == ListedStatus::Gone
+                && server.listed_status == ListedStatus::Ready;
+            if entry.status == ListedStatus::Ready && server.listed_status == ListedStatus::Gone {
                 server.last_ok_at = now;
-            } else if entry.listed != Listed::Ready && server.listed_status == Listed::Ready {
+            } else if entry.status != ListedStatus::Ready && server.listed_status == ListedStatus::Ready {
                 server.not_ready_since = now;
             }
-            server.listed_status = if server.dropped_from_list { Listed::Ready } else { entry.listed };
+            server.listed_status = if server.dropped_from_list { ListedStatus::Ready } else { entry.status };
             server.zone = entry.zone;
             server.size = entry.size.max(1e-3);
         }
@@ -79,14 +81,14 @@
     }
 
     /// Takes over the figures that a server reports of its load; those that it leaves out keep their last value.
-    pub(super) fn apply_load_report(&mut self, ep: Ep, load: &LoadReport) {
+    pub(super) fn apply_load_report(&mut self, endpoint: EndpointId, load: &LoadReport) {
         let now = self.now;
-        let server = self.server_mut(ep);
+        let server = self.server_mut(endpoint);
         let cpu = load.cpu.map(|cpu| (0.5 * cpu + 0.5 * server.cpu.map_or(cpu, |old| old.0), now));
         server.cpu = cpu.or(server.cpu);
-        server.service_time = load.service.map(|service| service.as_secs_f64()).or(server.service_time);
-        server.in_flight = load.in_hand.map(|in_flight| (in_flight, now)).or(server.in_flight);
-        let queue = load.in_hand.zip(load.waiting);
+        server.service_time = load.service_time.map(|time| time.as_secs_f64()).or(server.service_time);
+        server.in_flight = load.in_flight.map(|in_flight| (in_flight, now)).or(server.in_flight);
+        let queue = load.in_flight.zip(load.queued);
         let queued_per_running = queue.map(|(in_flight, queued)| queued / (in_flight - queued).max(1.0));
         server.queued_per_running =
             queued_per_running.map(|ratio| (ratio, now)).or(server.queued_per_running);
--- a/crates/whinhill/src/assigner/load.rs
+++ b/crates/whinhill/src/assigner/load.rs
@@ -86,7 +86,8 @@
         let place = |s: &Slice| s.handover.as_ref().and_then(|h| h.destination).or(s.owner);
         let demand = self.demand();
         let placed_demand = self.demand_by_server(&demand, place);
-        let ready: Vec<&Server> = self.servers.iter().filter(|s| s.listed_status == Listed::Ready).collect();
+        let ready: Vec<&Server> =
+            self.servers.iter().filter(|s| s.listed_status == ListedStatus::Ready).collect();
         let ready_count = ready.len().max(1) as f64;
         // A server with a stale report is of unknown load, not idle.
         let reported_cpu =
--- a/crates/whinhill/src/assigner/plan.rs
+++ b/crates/whinhill/src/assigner/plan.rs
@@ -6,7 +6,7 @@
     /// The ready servers besides the owner, in the slice's rendezvous order, which is the same at every assigner.
     pub(super) fn other_candidates(&self, id: SliceId) -> impl Iterator<Item = usize> + '_ {
         let is_candidate = move |i: &usize| {
-            Some(*i) != self.slices[id].owner && self.servers[*i].listed_status == Listed::Ready
+            Some(*i) != self.slices[id].owner && self.servers[*i].listed_status == ListedStatus::Ready
         };
         self.rendezvous_order[id].iter().copied().filter(is_candidate)
     }
@@ -30,7 +30,7 @@
         let mut is_stuck = vec![false; loads.len()];
         loop {
             let exceeds_limit = |i: &usize| {
-                !is_stuck[*i] && loads[*i] > limit && self.servers[*i].listed_status == Listed::Ready
+                !is_stuck[*i] && loads[*i] > limit && self.servers[*i].listed_status == ListedStatus::Ready
             };
             let overloaded = self.slices.iter().filter_map(|s| s.owner).filter(exceeds_limit);
             let most_loaded = overloaded.min_by(|a, b| loads[*b].total_cmp(&loads[*a]).then(b.cmp(a)));
--- a/crates/whinhill/src/assigner/plan/tests.rs
+++ b/crates/whinhill/src/assigner/plan/tests.rs
@@ -11,16 +11,16 @@
     for step in 0..20 * periods {
         let elapsed = Duration::from_millis(50) * step;
         let now = started_at + elapsed;
-        let report = |server: usize| Event::Met {
-            ep: endpoint(server),
+        let report = |server: usize| Event::TryReport {
+            endpoint: endpoint(server),
             zone: 0,
             tries: 10,
             lost: 0,
-            wait: if server == 0 { secs(0.35) } else { secs(0.05) },
-            span: secs(1.0),
+            mean_wait: if server == 0 { secs(0.35) } else { secs(0.05) },
+            interval: secs(1.0),
             load: LoadReport {
                 cpu: Some(if server == 0 { 0.99 } else { 0.1 }),
-                service: Some(secs(0.05)),
+                service_time: Some(secs(0.05)),
                 ..LoadReport::default()
             },
         };
@@ -29,11 +29,13 @@
             method: 0,
             rpcs: if slice < 3 { 40 } else { 10 },
             lost: 0,
-            span: secs(1.0),
+            interval: secs(1.0),
         };
         let mut events = match elapsed.as_millis() % 1000 {
-            0 if away_s > 0.0 => vec![Event::Left { proxy: 1 }],
-            at if away_s > 0.0 && at == secs(away_s).as_millis() => vec![Event::Joined { proxy: 1, zone: 0 }],
+            0 if away_s > 0.0 => vec![Event::ProxyLeft { proxy: 1 }],
+            at if away_s > 0.0 && at == secs(away_s).as_millis() => {
+                vec![Event::ProxyJoined { proxy: 1, zone: 0 }]
+            }
             _ => vec![Event::Timer],
         };
         if step % 20 == 10 {
@@ -41,7 +43,7 @@
             events.extend((0..6).map(demand));
         }
         let orders = assigner.handle(now, &events);
-        let is_write_stop = |order: &Order| matches!(order, Order::Level { slice: 0..3, share: 0.0, .. });
+        let is_write_stop = |order: &Order| matches!(order, Order::Level { slice: 0..3, level: 0.0, .. });
         if orders.iter().any(is_write_stop) {
             return Some(elapsed);
         }
--- a/crates/whinhill/src/assigner/suspicion.rs
+++ b/crates/whinhill/src/assigner/suspicion.rs
@@ -20,9 +20,9 @@
             return false;
         }
         self.next_probes_at = self.now + self.cfg.period / self.probe_rounds();
-        for server in self.servers.iter_mut().filter(|s| s.listed_status == Listed::Ready) {
+        for server in self.servers.iter_mut().filter(|s| s.listed_status == ListedStatus::Ready) {
             server.probe_ordered_at.get_or_insert(self.now);
-            self.output.push(Order::Probe { ep: server.endpoint });
+            self.output.push(Order::Probe { endpoint: server.endpoint });
         }
         true
     }
@@ -31,7 +31,7 @@
     fn probe_rounds(&self) -> u32 {
         let our_rate = self.method_rpcs.iter().map(|rpcs| rpcs.rate(self.now, self.half_life)).sum::<f64>();
         let total_rate = our_rate / self.custody_fraction().max(1e-3);
-        let ready = self.servers.iter().filter(|s| s.listed_status == Listed::Ready).count();
+        let ready = self.servers.iter().filter(|s| s.listed_status == ListedStatus::Ready).count();
         let round_rate = (ready * self.cfg.total_assigners) as f64 / self.cfg.period.as_secs_f64();
         let affordable = (MAX_PROBES_PER_RPC * total_rate / round_rate.max(1e-9)) as u32;
         if our_rate > 0.0 {
@@ -42,19 +42,20 @@
     }
 
     /// Takes the result of a probe; a server that does not answer is probed again at once.
-    pub(super) fn apply_probe_result(&mut self, ep: Ep, result: Probe) {
+    pub(super) fn apply_probe_result(&mut self, endpoint: EndpointId, result: ProbeOutcome) {
         let (now, may_probe, period) = (self.now, self.cfg.may_probe, self.cfg.period);
-        let is_first_miss = result == Probe::Unanswered && self.server_mut(ep).unresponsive_since.is_none();
-        let admitted_rate = if is_first_miss { self.admitted_rates()[ep.index] } else { 0.0 };
-        let server = self.server_mut(ep);
+        let is_first_miss =
+            result == ProbeOutcome::Unanswered && self.server_mut(endpoint).unresponsive_since.is_none();
+        let admitted_rate = if is_first_miss { self.admitted_rates()[endpoint.index] } else { 0.0 };
+        let server = self.server_mut(endpoint);
         let earliest = now.saturating_sub(period);
         let ordered_at = server.probe_ordered_at.take().map_or(now, |at| at.max(earliest));
         match result {
-            Probe::Ok | Probe::Aborted | Probe::PushedBack => {
+            ProbeOutcome::Ok | ProbeOutcome::Aborted | ProbeOutcome::PushedBack => {
                 server.record_probe_answer(now);
-                server.seen_serving |= result == Probe::Ok;
+                server.seen_serving |= result == ProbeOutcome::Ok;
             }
-            Probe::Unanswered => {
+            ProbeOutcome::Unanswered => {
                 server.unanswered_probes += 1;
                 if is_first_miss {
                     server.unresponsive_since = Some(ordered_at);
@@ -63,8 +64,8 @@
                 server.probe_ordered_at = Some(now);
                 let probes_again = may_probe
                     && server.unanswered_probes < DEAD_AFTER_MISSES
-                    && server.listed_status == Listed::Ready;
-                self.output.extend(probes_again.then_some(Order::Probe { ep }));
+                    && server.listed_status == ListedStatus::Ready;
+                self.output.extend(probes_again.then_some(Order::Probe { endpoint }));
             }
         }
     }
@@ -91,8 +92,8 @@
             server.misses_to_suspect = fleet_misses_needed.max(misses_needed);
             let zone = zones.get(&server.zone).copied().unwrap_or_default();
             let are_misses_accepted = is_minority || some_zone_answers && zone.answered == 0;
-            let has_missed =
-                server.listed_status != Listed::Gone && server.unanswered_probes >= server.misses_to_suspect;
+            let has_missed = server.listed_status != ListedStatus::Gone
+                && server.unanswered_probes >= server.misses_to_suspect;
             server.zone_unresponsive = zone.answered == 0;
             server.suspected =
                 has_missed && are_misses_accepted && !server.under_load && !server.probes_unreliable;
--- a/crates/whinhill/src/assigner/tests.rs
+++ b/crates/whinhill/src/assigner/tests.rs
@@ -16,8 +16,8 @@
 }
 
 /// The endpoint of a server, with a stable id made from its index.
-pub(super) fn endpoint(index: usize) -> Ep {
-    Ep { index, stable: (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) }
+pub(super) fn endpoint(index: usize) -> EndpointId {
+    EndpointId { index, stable_id: (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) }
 }
 
 /// An assigner at 100 s with ready servers, two joined proxies, and one slice for each pair of an owner and a demand.
@@ -32,7 +32,7 @@
     for index in 0..servers {
         *assigner.server_mut(endpoint(index)) = Server {
             endpoint: endpoint(index),
-            listed_status: Listed::Ready,
+            listed_status: ListedStatus::Ready,
             seen_serving: true,
             size: 1.0,
             last_ok_at: assigner.now,
@@ -57,24 +57,24 @@
 /// The slices and servers of the grants among some orders.
 fn grants(orders: &[Order]) -> Vec<(SliceId, usize)> {
     let grant = |order: &Order| match order {
-        Order::Grant { slice, ep } => Some((*slice, ep.index)),
+        Order::Grant { slice, endpoint } => Some((*slice, endpoint.index)),
         _ => None,
     };
     orders.iter().filter_map(grant).collect()
 }
 
 /// An ack whose message took effect after 0.3 s.
-fn ack(proxy: ProxyId, mark: u16) -> Event {
-    Event::Acked { proxy, mark, way: secs(0.3) }
+fn ack(proxy: ProxyId, ack_seq: u16) -> Event {
+    Event::Acked { proxy, ack_seq, transit: secs(0.3) }
 }
 
 /// A list entry of a server, in zone 0 and started long ago.
-fn list_entry(index: usize, listed: Listed) -> Entry {
-    Entry { ep: endpoint(index), zone: 0, listed, size: 1.0, started: None }
+fn list_entry(index: usize, status: ListedStatus) -> ServerEntry {
+    ServerEntry { endpoint: endpoint(index), zone: 0, status, size: 1.0, started: None }
 }
 
 /// A list update with some entries.
-fn list_changes(entries: Vec<Entry>) -> Event {
+fn list_changes(entries: Vec<ServerEntry>) -> Event {
     Event::List { kind: ListKind::Changes, entries }
 }
 
@@ -83,8 +83,8 @@
     let mut assigner = assigner_with(3, &[(0, 1.0)]);
     assigner.start_handover(0, Some(1), false);
     let orders = assigner.handle(secs(100.0), &[Event::Timer]);
-    let write_stop = Order::Level { slice: 0, share: 0.0, methods: 2, tries: 0 };
-    assert!(orders.contains(&write_stop) && orders.contains(&Order::Mark { mark: 1 }));
+    let write_stop = Order::Level { slice: 0, level: 0.0, methods: 2, tries: 0 };
+    assert!(orders.contains(&write_stop) && orders.contains(&Order::RequestAck { ack_seq: 1 }));
     assigner
 }
 
@@ -93,17 +93,17 @@
     let mut assigner = assigner_with_handover();
     assigner.handle(secs(100.4), &[ack(0, 1)]);
     assert_eq!(grants(&assigner.handle(secs(102.0), &[Event::Timer])), []);
-    assigner.handle(secs(102.5), &[Event::Acked { proxy: 1, mark: 1, way: secs(2.2) }]);
+    assigner.handle(secs(102.5), &[Event::Acked { proxy: 1, ack_seq: 1, transit: secs(2.2) }]);
     assert_eq!(grants(&assigner.handle(secs(103.3), &[Event::Timer])), []);
     let orders = assigner.handle(secs(103.5), &[Event::Timer]);
     assert_eq!(grants(&orders), [(0, 1)]);
-    assert!(orders.contains(&Order::Level { slice: 0, share: 1.0, methods: 2, tries: 0 }));
+    assert!(orders.contains(&Order::Level { slice: 0, level: 1.0, methods: 2, tries: 0 }));
 }
 
 #[test]
 fn grant_waits_for_write_lease_of_disconnected_proxy() {
     let mut assigner = assigner_with_handover();
-    assigner.handle(secs(100.5), &[ack(0, 1), Event::Left { proxy: 1 }]);
+    assigner.handle(secs(100.5), &[ack(0, 1), Event::ProxyLeft { proxy: 1 }]);
     assert_eq!(grants(&assigner.handle(secs(105.6), &[Event::Timer])), []);
     assert_eq!(grants(&assigner.handle(secs(105.8), &[Event::Timer])), [(0, 1)]);
 }
@@ -111,11 +111,12 @@
 #[test]
 fn grant_waits_for_ack_of_proxy_that_joins_during_handover() {
     let mut assigner = assigner_with_handover();
-    let orders = assigner.handle(secs(100.5), &[ack(0, 1), ack(1, 1), Event::Joined { proxy: 2, zone: 0 }]);
-    assert!(orders.contains(&Order::Mark { mark: 2 }));
+    let orders =
+        assigner.handle(secs(100.5), &[ack(0, 1), ack(1, 1), Event::ProxyJoined { proxy: 2, zone: 0 }]);
+    assert!(orders.contains(&Order::RequestAck { ack_seq: 2 }));
     assert_eq!(grants(&assigner.handle(secs(103.0), &[Event::Timer])), []);
     assert_eq!(
-        grants(&assigner.handle(secs(104.5), &[Event::Acked { proxy: 2, mark: 2, way: secs(0.4) }])),
+        grants(&assigner.handle(secs(104.5), &[Event::Acked { proxy: 2, ack_seq: 2, transit: secs(0.4) }])),
         [(0, 1)]
     );
 }
@@ -123,9 +124,10 @@
 #[test]
 fn acknowledged_proxies_that_restart_do_not_delay_grant() {
     let mut assigner = assigner_with_handover();
-    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)]), ack(0, 1), ack(1, 1)]);
+    assigner
+        .handle(secs(100.1), &[list_changes(vec![list_entry(0, ListedStatus::Gone)]), ack(0, 1), ack(1, 1)]);
     for (at, proxy) in [(100.5, 0), (101.0, 1)] {
-        assigner.handle(secs(at), &[Event::Left { proxy }, Event::Joined { proxy, zone: 0 }]);
+        assigner.handle(secs(at), &[Event::ProxyLeft { proxy }, Event::ProxyJoined { proxy, zone: 0 }]);
     }
     assert_eq!(grants(&assigner.handle(secs(101.4), &[Event::Timer])), [(0, 1)]);
 }
@@ -133,17 +135,18 @@
 #[test]
 fn owner_gone_during_handover_has_line_revoked_at_once() {
     let mut assigner = assigner_with_handover();
-    let orders = assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)])]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    let orders = assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, ListedStatus::Gone)])]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
 }
 
 #[test]
 fn destination_gone_during_handover_leaves_slice_at_owner() {
     let mut assigner = assigner_with_handover();
-    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(1, Listed::Gone)]), ack(0, 1), ack(1, 1)]);
+    assigner
+        .handle(secs(100.1), &[list_changes(vec![list_entry(1, ListedStatus::Gone)]), ack(0, 1), ack(1, 1)]);
     let orders = assigner.handle(secs(102.0), &[Event::Timer]);
     assert_eq!(grants(&orders), []);
-    assert!(orders.contains(&Order::Level { slice: 0, share: 1.0, methods: 2, tries: 0 }));
+    assert!(orders.contains(&Order::Level { slice: 0, level: 1.0, methods: 2, tries: 0 }));
     assert_eq!(assigner.slices[0].owner, Some(0));
 }
 
@@ -152,7 +155,8 @@
     let mut assigner = assigner_with_handover();
     assigner.servers[0].unhealthy_until = Some(secs(200.0));
     assigner.handle(secs(100.1), &[Event::Timer]);
-    let others_gone = list_changes(vec![list_entry(1, Listed::Gone), list_entry(2, Listed::Gone)]);
+    let others_gone =
+        list_changes(vec![list_entry(1, ListedStatus::Gone), list_entry(2, ListedStatus::Gone)]);
     assigner.handle(secs(100.5), &[others_gone, ack(0, 1), ack(1, 1)]);
     assert_eq!(grants(&assigner.handle(secs(102.5), &[Event::Timer])), [(0, 0)]);
 }
@@ -160,14 +164,14 @@
 #[test]
 fn slice_released_during_handover_is_not_granted() {
     let mut assigner = assigner_with_handover();
-    assigner.handle(secs(100.1), &[Event::Taken { slice: 0 }, ack(0, 1), ack(1, 1)]);
+    assigner.handle(secs(100.1), &[Event::SliceReleased { slice: 0 }, ack(0, 1), ack(1, 1)]);
     assert_eq!(grants(&assigner.handle(secs(110.0), &[Event::Timer])), []);
 }
 
 #[test]
 fn slice_acquired_without_owner_waits_for_write_lease() {
     let mut assigner = assigner_with(2, &[(0, 1.0)]);
-    assigner.handle(secs(100.0), &[Event::Given { slice: 0 }]);
+    assigner.handle(secs(100.0), &[Event::SliceAcquired { slice: 0 }]);
     assert_eq!(grants(&assigner.handle(secs(105.1), &[Event::Timer])), []);
     assert_eq!(grants(&assigner.handle(secs(105.3), &[Event::Timer])).len(), 1);
 }
@@ -177,10 +181,12 @@
 fn next_ready_server_gets_slices_after_empty_list() {
     let mut assigner = assigner_with(2, &[(0, 1.0)]);
     let empty = Event::List { kind: ListKind::Full, entries: vec![] };
-    assert!(assigner.handle(secs(100.0), &[empty]).contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    assert!(assigner
+        .handle(secs(100.0), &[empty])
+        .contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
     assigner.handle(secs(100.5), &[ack(0, 1), ack(1, 1)]);
     assert_eq!(grants(&assigner.handle(secs(103.0), &[Event::Timer])), []);
-    let server_back = Event::List { kind: ListKind::Full, entries: vec![list_entry(1, Listed::Ready)] };
+    let server_back = Event::List { kind: ListKind::Full, entries: vec![list_entry(1, ListedStatus::Ready)] };
     assert_eq!(grants(&assigner.handle(secs(103.1), &[server_back])), [(0, 1)]);
 }
 
@@ -189,15 +195,17 @@
 fn index_of_gone_server_is_reused_once_it_owns_no_slice() {
     let mut assigner = assigner_with(3, &[(0, 1.0)]);
     assert!(
-        !assigner.is_done_with(0) && !assigner.is_done_with(1),
+        !assigner.can_reuse_index(0) && !assigner.can_reuse_index(1),
         "server 0 owns a slice, server 1 is ready"
     );
-    assigner
-        .handle(secs(100.0), &[list_changes(vec![list_entry(0, Listed::Gone), list_entry(1, Listed::Gone)])]);
-    assert!(!assigner.is_done_with(0) && assigner.is_done_with(1), "server 0 still owns a slice");
+    assigner.handle(
+        secs(100.0),
+        &[list_changes(vec![list_entry(0, ListedStatus::Gone), list_entry(1, ListedStatus::Gone)])],
+    );
+    assert!(!assigner.can_reuse_index(0) && assigner.can_reuse_index(1), "server 0 still owns a slice");
     assigner.servers[1].learned_limit = Some(1.0);
-    let other_endpoint = Ep { index: 1, stable: 77 };
-    let entry = Entry { ep: other_endpoint, ..list_entry(1, Listed::Ready) };
+    let other_endpoint = EndpointId { index: 1, stable_id: 77 };
+    let entry = ServerEntry { endpoint: other_endpoint, ..list_entry(1, ListedStatus::Ready) };
     assigner.handle(secs(100.1), &[list_changes(vec![entry])]);
     assert_eq!(
         (assigner.servers[1].endpoint, assigner.servers[1].learned_limit, assigner.servers[1].seen_serving),
@@ -214,8 +222,8 @@
         let mut assigner = assigner_with(2, &[(0, 1.0)]);
         assigner.cfg.total_proxies = total_proxies;
         assert!(assigner
-            .handle(secs(100.0), &[Event::Given { slice: 0 }])
-            .contains(&Order::Mark { mark: 1 }));
+            .handle(secs(100.0), &[Event::SliceAcquired { slice: 0 }])
+            .contains(&Order::RequestAck { ack_seq: 1 }));
         assigner.handle(secs(100.5), &[ack(0, 1)]);
         assert_eq!(
             grants(&assigner.handle(secs(101.9), &[Event::Timer])),
@@ -234,8 +242,11 @@
 fn move_of_acquired_slice_needs_no_lease_when_all_known_proxies_ack() {
     let mut assigner = assigner_with(2, &[(0, 1.0)]);
     assigner.cfg.total_proxies = 2;
-    assigner.handle(secs(100.0), &[Event::Given { slice: 0 }, Event::Stored { slice: 0, ep: endpoint(0) }]);
-    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)])]);
+    assigner.handle(
+        secs(100.0),
+        &[Event::SliceAcquired { slice: 0 }, Event::StoredOwner { slice: 0, endpoint: endpoint(0) }],
+    );
+    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, ListedStatus::Gone)])]);
     assert_eq!(grants(&assigner.handle(secs(101.0), &[ack(0, 1), ack(1, 1)])), []);
     assert_eq!(grants(&assigner.handle(secs(102.3), &[Event::Timer])), [(0, 1)]);
 }
@@ -243,8 +254,11 @@
 #[test]
 fn move_of_acquired_slice_waits_for_lease_when_proxy_count_is_unknown() {
     let mut assigner = assigner_with(2, &[(0, 1.0)]);
-    assigner.handle(secs(100.0), &[Event::Given { slice: 0 }, Event::Stored { slice: 0, ep: endpoint(0) }]);
-    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, Listed::Gone)])]);
+    assigner.handle(
+        secs(100.0),
+        &[Event::SliceAcquired { slice: 0 }, Event::StoredOwner { slice: 0, endpoint: endpoint(0) }],
+    );
+    assigner.handle(secs(100.1), &[list_changes(vec![list_entry(0, ListedStatus::Gone)])]);
     assert_eq!(grants(&assigner.handle(secs(101.0), &[ack(0, 1), ack(1, 1)])), []);
     assert_eq!(grants(&assigner.handle(secs(105.1), &[Event::Timer])), []);
     assert_eq!(grants(&assigner.handle(secs(105.3), &[Event::Timer])), [(0, 1)]);
@@ -253,11 +267,11 @@
 #[test]
 fn drain_stops_writes_first_and_revokes_line_within_grace() {
     let mut assigner = assigner_with(2, &[(0, 1.0)]);
-    let orders = assigner.handle(secs(100.0), &[list_changes(vec![list_entry(0, Listed::Draining)])]);
-    assert!(orders.contains(&Order::Level { slice: 0, share: 0.0, methods: 2, tries: 0 }));
-    assert!(!orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    let orders = assigner.handle(secs(100.0), &[list_changes(vec![list_entry(0, ListedStatus::Draining)])]);
+    assert!(orders.contains(&Order::Level { slice: 0, level: 0.0, methods: 2, tries: 0 }));
+    assert!(!orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
     let orders = assigner.handle(secs(100.9), &[Event::Timer]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    assert!(orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
 }
 
 /// A snapshot in which a unit of demand is a unit of load and every server offers all its headroom.
@@ -354,11 +368,11 @@
 #[test]
 fn restarted_owner_is_limited_to_cold_budget_at_once() {
     let mut assigner = assigner_with(4, &[(0, 0.3), (0, 0.3), (0, 0.3), (1, 0.3), (2, 0.3), (3, 0.3)]);
-    let cold = Entry { started: Some(secs(99.9)), ..list_entry(0, Listed::Ready) };
+    let cold = ServerEntry { started: Some(secs(99.9)), ..list_entry(0, ListedStatus::Ready) };
     let orders = assigner.handle(secs(100.0), &[list_changes(vec![cold])]);
     let is_limited = |id: SliceId| {
         orders.iter().any(|order| match order {
-            Order::Level { slice, share, .. } => *slice == id && *share < 1.0,
+            Order::Level { slice, level, .. } => *slice == id && *level < 1.0,
             Order::Revoke { slice, .. } => *slice == id,
             _ => false,
         })
@@ -402,7 +416,7 @@
     assigner.servers[0].criticality_cutoff = 0.5;
     assigner.start_handover(1, Some(2), false);
     assigner.order_levels(true);
-    assert_eq!(assigner.output, [Order::Level { slice: 1, share: 0.0, methods: 2, tries: 0 }]);
+    assert_eq!(assigner.output, [Order::Level { slice: 1, level: 0.0, methods: 2, tries: 0 }]);
 }
 
 #[test]
@@ -416,19 +430,19 @@
     assert!(assigner.output.is_empty());
     assigner.proxy_acked(0, 1, secs(0.3));
     assigner.order_levels(true);
-    assert_eq!(assigner.output, [Order::Level { slice: 0, share: 0.8, methods: 1, tries: 0 }]);
+    assert_eq!(assigner.output, [Order::Level { slice: 0, level: 0.8, methods: 1, tries: 0 }]);
 }
 
 /// Reports `tries` at a server, of which `lost` failed and the others were answered after `wait` seconds.
 pub(super) fn report_tries(assigner: &mut Assigner, server: usize, tries: u64, lost: u64, wait: f64) {
     let load = LoadReport::default();
-    assigner.apply_event(&Event::Met {
-        ep: endpoint(server),
+    assigner.apply_event(&Event::TryReport {
+        endpoint: endpoint(server),
         zone: 0,
         tries,
         lost,
-        wait: secs(wait),
-        span: secs(1.0),
+        mean_wait: secs(wait),
+        interval: secs(1.0),
         load,
     });
 }
@@ -513,13 +527,13 @@
 /// When reports came 0.55 s before each periodic evaluation, failing servers kept their slices that much longer.
 #[test]
 fn servers_are_evaluated_when_reports_come_or_after_timeout() {
-    let failing = Event::Met {
-        ep: endpoint(0),
+    let failing = Event::TryReport {
+        endpoint: endpoint(0),
         zone: 0,
         tries: 20,
         lost: 20,
-        wait: Duration::ZERO,
-        span: secs(1.0),
+        mean_wait: Duration::ZERO,
+        interval: secs(1.0),
         load: LoadReport::default(),
     };
     let runs_period = |assigner: &mut Assigner, at: f64, event: &Event| {
@@ -550,15 +564,15 @@
 #[test]
 fn unresponsive_owner_is_replaced_despite_absent_proxy_and_late_ack() {
     let mut assigner = assigner_with(4, &[(0, 300.0), (1, 300.0), (2, 300.0), (3, 300.0)]);
-    assigner.handle(secs(102.0), &[Event::Left { proxy: 1 }]);
+    assigner.handle(secs(102.0), &[Event::ProxyLeft { proxy: 1 }]);
     assigner.now = secs(103.3);
     (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
     let orders = assigner.handle(secs(103.3), &[Event::Timer]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    assert!(orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
     // The lease of the absent proxy ends at 106 s, the stop took effect at the other one at 106.5 s, and writes in
     // flight end within 1.2 s.
     (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
-    assigner.handle(secs(107.0), &[Event::Acked { proxy: 0, mark: 1, way: secs(3.2) }]);
+    assigner.handle(secs(107.0), &[Event::Acked { proxy: 0, ack_seq: 1, transit: secs(3.2) }]);
     assert_eq!(grants(&assigner.handle(secs(107.6), &[Event::Timer])), []);
     assert_eq!(grants(&assigner.handle(secs(107.8), &[Event::Timer])).len(), 1);
 }
@@ -576,23 +590,25 @@
     assigner.order_levels(true);
     // The server answered 40 RPCs in a half-life of 1 s: ln 2 * 40 = 27.7 a second. Nine tenths of that are 25 of the 40
     // that come.
-    assert_eq!(assigner.output.pop(), Some(Order::Level { slice: 0, share: 0.25, methods: 1, tries: 0 }));
+    assert_eq!(assigner.output.pop(), Some(Order::Level { slice: 0, level: 0.25, methods: 1, tries: 0 }));
 }
 
 #[test]
 fn failed_list_request_is_retried_later() {
     let mut assigner = assigner_with(1, &[]);
     let failed = Event::List { kind: ListKind::Failed, entries: vec![] };
-    assert!(!assigner.handle(secs(100.0), &[failed]).contains(&Order::Watch));
-    assert!(assigner.handle(secs(101.0), &[Event::Timer]).contains(&Order::Watch));
+    assert!(!assigner.handle(secs(100.0), &[failed]).contains(&Order::WatchList));
+    assert!(assigner.handle(secs(101.0), &[Event::Timer]).contains(&Order::WatchList));
 }
 
 #[test]
 fn same_events_give_same_orders() {
     let run = || {
         let mut assigner = assigner_with_handover();
-        let mut orders = assigner
-            .handle(secs(100.4), &[ack(0, 1), ack(1, 1), list_changes(vec![list_entry(2, Listed::Gone)])]);
+        let mut orders = assigner.handle(
+            secs(100.4),
+            &[ack(0, 1), ack(1, 1), list_changes(vec![list_entry(2, ListedStatus::Gone)])],
+        );
         orders.extend(assigner.handle(secs(102.0), &[Event::Timer]));
         orders
     };
@@ -607,13 +623,21 @@
     for round in 0..20u32 {
         let mut events = vec![Event::Timer];
         for id in (0..40).filter(|id| id % 4 == round as usize % 4) {
-            let (ep, span, wait) = (endpoint(id % 8), secs(4.0), secs(0.1));
-            events.push(Event::Demand { slice: id, method: 0, rpcs: 20, lost: 0, span });
+            let (endpoint, interval, mean_wait) = (endpoint(id % 8), secs(4.0), secs(0.1));
+            events.push(Event::Demand { slice: id, method: 0, rpcs: 20, lost: 0, interval });
             let load = LoadReport::default();
-            events.push(Event::Met { ep, zone: 0, tries: 20, lost: 0, wait, span, load });
+            events.push(Event::TryReport {
+                endpoint,
+                zone: 0,
+                tries: 20,
+                lost: 0,
+                mean_wait,
+                interval,
+                load,
+            });
         }
         let orders = assigner.handle(secs(101.0 + f64::from(round)), &events);
-        let is_expected = |order: &Order| matches!(order, Order::Wake { .. } | Order::Watch);
+        let is_expected = |order: &Order| matches!(order, Order::Wake { .. } | Order::WatchList);
         assert!(orders.iter().all(is_expected), "{orders:?}");
     }
     assert_eq!(assigner.half_life, secs(4.0));
@@ -637,10 +661,10 @@
     let mut assigner = assigner_with(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
     assigner.cfg.gone_is_advisory = is_advisory;
     let entries = match kind {
-        ListKind::Changes => gone.iter().map(|server| list_entry(*server, Listed::Gone)).collect(),
+        ListKind::Changes => gone.iter().map(|server| list_entry(*server, ListedStatus::Gone)).collect(),
         _ => (0..4)
             .filter(|server| !gone.contains(server))
-            .map(|server| list_entry(server, Listed::Ready))
+            .map(|server| list_entry(server, ListedStatus::Ready))
             .collect(),
     };
     let orders = assigner.handle(secs(100.0), &[Event::List { kind, entries }]);
@@ -655,15 +679,19 @@
         assigner.now = secs(103.0);
         (1..4).for_each(|server| report_tries(&mut assigner, server, 20, 0, 0.1));
         assigner.evaluate_servers();
-        let statuses: Vec<Listed> = assigner.servers.iter().map(|server| server.listed_status).collect();
-        assert_eq!(statuses, [Listed::Gone, Listed::Ready, Listed::Ready, Listed::Ready]);
+        let statuses: Vec<ListedStatus> =
+            assigner.servers.iter().map(|server| server.listed_status).collect();
+        assert_eq!(
+            statuses,
+            [ListedStatus::Gone, ListedStatus::Ready, ListedStatus::Ready, ListedStatus::Ready]
+        );
     }
 }
 
 #[test]
 fn binding_removal_revokes_slices_at_once() {
     let (_, orders) = remove_from_list(false, &[0], ListKind::Full);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    assert!(orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
 }
 
 #[test]
@@ -671,7 +699,7 @@
     for unknown in [None, Some(9)] {
         let mut assigner = assigner_with(2, &[(0, 1.0), (1, 1.0)]);
         assigner.cfg.gone_is_advisory = true;
-        let entries = unknown.map(|server| list_entry(server, Listed::Ready)).into_iter().collect();
+        let entries = unknown.map(|server| list_entry(server, ListedStatus::Ready)).into_iter().collect();
         let orders = assigner.handle(secs(100.0), &[Event::List { kind: ListKind::Full, entries }]);
         assert!(!orders.iter().any(|order| matches!(order, Order::Revoke { .. } | Order::Grant { .. })));
     }
@@ -682,7 +710,11 @@
     let mut assigner = assigner_with(3, &[(0, 1.0), (0, 1.0), (0, 1.0), (0, 1.0), (1, 1.0)]);
     (assigner.servers[2].seen_serving, assigner.cfg.may_probe) = (false, true);
     assert_eq!(assigner.load_snapshot().headroom[2], 0.0);
-    assigner.apply_event(&Event::Probed { ep: endpoint(2), result: Probe::Ok, load: LoadReport::default() });
+    assigner.apply_event(&Event::Probed {
+        endpoint: endpoint(2),
+        result: ProbeOutcome::Ok,
+        load: LoadReport::default(),
+    });
     assert!(assigner.load_snapshot().headroom[2] > 0.0);
     (assigner.servers[2].seen_serving, assigner.cfg.may_probe) = (false, false);
     assert!(assigner.load_snapshot().headroom[2] > 0.0);
@@ -714,8 +746,8 @@
 #[test]
 fn drain_of_too_many_slices_for_grace_revokes_lines_at_once() {
     let mut assigner = assigner_with(2, &[(0, 0.01); 700]);
-    let orders = assigner.handle(secs(100.0), &[list_changes(vec![list_entry(0, Listed::Draining)])]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }));
+    let orders = assigner.handle(secs(100.0), &[list_changes(vec![list_entry(0, ListedStatus::Draining)])]);
+    assert!(orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }));
     assert!(!orders.iter().any(|order| matches!(order, Order::Level { .. })));
 }
 
@@ -724,8 +756,8 @@
     let mut assigner = assigner_with(4, &[(0, 60.0), (1, 60.0), (2, 60.0), (3, 60.0)]);
     assigner.servers[0].last_ok_at = secs(0.0);
     assigner.servers[0].unhealthy_until = Some(secs(300.0));
-    assigner.apply_event(&Event::Given { slice: 0 });
-    assigner.apply_event(&Event::Stored { slice: 0, ep: endpoint(0) });
+    assigner.apply_event(&Event::SliceAcquired { slice: 0 });
+    assigner.apply_event(&Event::StoredOwner { slice: 0, endpoint: endpoint(0) });
     assigner.evaluate_servers();
     assert!(usable(&assigner.servers[0]));
 }
@@ -749,16 +781,16 @@
 fn probes_logs_and_list_requests_use_no_channel_lines() {
     let mut assigner = assigner_with(2, &[(0, 1.0)]);
     let orders_without_lines =
-        [Order::Probe { ep: endpoint(0) }, Order::Log { text: String::new() }, Order::Watch];
+        [Order::Probe { endpoint: endpoint(0) }, Order::Log { text: String::new() }, Order::WatchList];
     assigner.output = orders_without_lines.iter().cycle().take(3000).cloned().collect();
     assert!(assigner.channel_is_below(PLAN_START_FILL));
-    assigner.output = vec![Order::Grant { slice: 0, ep: endpoint(0) }; 3000];
+    assigner.output = vec![Order::Grant { slice: 0, endpoint: endpoint(0) }; 3000];
     assert!(!assigner.channel_is_below(DRAIN_STOP_FILL));
 }
 
 /// Requests to move slice 0 to server 1; returns the destination of the handover that the next plan starts, if any.
 fn destination_after_request(mut assigner: Assigner) -> Option<Option<usize>> {
-    assigner.handle(secs(100.0), &[Event::Wished { slice: 0, to: endpoint(1) }]);
+    assigner.handle(secs(100.0), &[Event::MoveRequested { slice: 0, destination: endpoint(1) }]);
     assigner.handle(secs(101.0), &[Event::Timer]);
     assert!(assigner.plan.requested_moves.is_empty());
     assigner.slices[0].handover.as_ref().map(|handover| handover.destination)
@@ -779,7 +811,7 @@
         destination_after_request(assigner)
     };
     assert_eq!(outcome(&|assigner| assigner.servers[1].unhealthy_until = Some(secs(500.0))), None);
-    assert_eq!(outcome(&|assigner| assigner.servers[1].listed_status = Listed::Draining), None);
+    assert_eq!(outcome(&|assigner| assigner.servers[1].listed_status = ListedStatus::Draining), None);
     assert_eq!(outcome(&|assigner| assigner.servers[1].seen_serving = false), None);
     // The learned limit is below the demand of the slice.
     let at_full_server = outcome(&|assigner| {
@@ -794,13 +826,14 @@
 #[test]
 fn acquired_slices_use_no_channel_lines() {
     let mut assigner = assigner_with(2, &[(0, 1.0); 4000]);
-    let acquired =
-        (0..4000).flat_map(|slice| [Event::Given { slice }, Event::Stored { slice, ep: endpoint(0) }]);
+    let acquired = (0..4000).flat_map(|slice| {
+        [Event::SliceAcquired { slice }, Event::StoredOwner { slice, endpoint: endpoint(0) }]
+    });
     let orders = assigner.handle(secs(100.1), &acquired.collect::<Vec<_>>());
     assert!(
-        assigner.channel_is_below(PLAN_START_FILL) && !orders.iter().any(Order::costs_a_line),
+        assigner.channel_is_below(PLAN_START_FILL) && !orders.iter().any(Order::uses_channel_line),
         "{}",
-        assigner.channel_lines()
+        assigner.queued_lines()
     );
 }
 
@@ -813,13 +846,13 @@
     assigner.channel.queued_messages = [(0, 2000.0, assigner.now), (1, 1500.0, assigner.now)].into();
     (assigner.channel.queued_lines, assigner.channel.updated_at) = (3500.0, assigner.now);
     assigner.handle(secs(100.7), &[Event::Timer]);
-    assert!((assigner.channel_lines() - 2800.0).abs() < 1.0, "{}", assigner.channel_lines());
+    assert!((assigner.queued_lines() - 2800.0).abs() < 1.0, "{}", assigner.queued_lines());
     assigner.handle(secs(100.9), &[Event::Timer]);
-    assert!((assigner.channel_lines() - 3450.0).abs() < 1.0, "{}", assigner.channel_lines());
+    assert!((assigner.queued_lines() - 3450.0).abs() < 1.0, "{}", assigner.queued_lines());
     assigner.handle(secs(101.9), &[Event::Timer]);
-    assert!((assigner.channel_lines() - 3200.0).abs() < 1.0, "{}", assigner.channel_lines());
-    assigner.handle(secs(102.0), &[Event::Acked { proxy: 1, mark: 1, way: secs(1.9) }]);
-    assert!(assigner.channel_lines() <= 1500.0, "{}", assigner.channel_lines());
+    assert!((assigner.queued_lines() - 3200.0).abs() < 1.0, "{}", assigner.queued_lines());
+    assigner.handle(secs(102.0), &[Event::Acked { proxy: 1, ack_seq: 1, transit: secs(1.9) }]);
+    assert!(assigner.queued_lines() <= 1500.0, "{}", assigner.queued_lines());
 }
 
 /// An assigner with three servers and two slices, and with some settings changed.
@@ -838,7 +871,13 @@
 
 /// Drains server 0 and returns the first orders.
 fn drain_server_0(assigner: &mut Assigner) -> Vec<Order> {
-    let entry = Entry { ep: endpoint(0), zone: 0, listed: Listed::Draining, size: 1.0, started: None };
+    let entry = ServerEntry {
+        endpoint: endpoint(0),
+        zone: 0,
+        status: ListedStatus::Draining,
+        size: 1.0,
+        started: None,
+    };
     assigner.handle(secs(100.1), &[Event::List { kind: ListKind::Changes, entries: vec![entry] }])
 }
 
@@ -850,9 +889,9 @@
         assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.admission", "off")]);
     let orders = drain_server_0(&mut assigner);
     let Some((0, to)) = grants(&orders).first().copied() else { panic!("{orders:?}") };
-    assert!(to != 0 && orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }), "{orders:?}");
+    assert!(to != 0 && orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }), "{orders:?}");
     assert!(!orders.iter().any(|order| matches!(order, Order::Level { .. })), "{orders:?}");
-    assert_eq!((assigner.owner(0), assigner.moving(0)), (Some(to), false));
+    assert_eq!((assigner.owner(0), assigner.has_handover(0)), (Some(to), false));
 }
 
 /// A planned move must revoke the old line too, and does not stop writes.
@@ -862,8 +901,8 @@
     assigner.plan.pending_batches = [vec![(0, 2)]].into();
     let orders = assigner.handle(secs(100.1), &[Event::Timer]);
     assert_eq!(grants(&orders), [(0, 2)]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }), "{orders:?}");
-    assert!(!orders.iter().any(|order| matches!(order, Order::Level { share: 0.0, .. })), "{orders:?}");
+    assert!(orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }), "{orders:?}");
+    assert!(!orders.iter().any(|order| matches!(order, Order::Level { level: 0.0, .. })), "{orders:?}");
 }
 
 /// In a release with all slices at one assigner, moves must wait for channel capacity.
@@ -877,7 +916,7 @@
     assert!((1000..1500).contains(&first_orders), "{first_orders}");
     for tick in 2..20 {
         assigner.handle(secs(100.0 + 0.1 * f64::from(tick)), &[Event::Timer]);
-        assert!(assigner.channel_lines() < assigner.cfg.max_backlog_lines, "{}", assigner.channel_lines());
+        assert!(assigner.queued_lines() < assigner.cfg.max_backlog_lines, "{}", assigner.queued_lines());
     }
 }
 
@@ -888,7 +927,9 @@
         assigner_with_settings(&[("familyInfo.oneOwner", "1"), ("familyInfo.admission", "off")]);
     assigner.start_handover(0, Some(2), false);
     let orders = assigner.handle(secs(100.1), &[Event::Timer]);
-    assert!(orders.contains(&Order::Revoke { slice: 0, ep: endpoint(0) }) && grants(&orders).is_empty());
+    assert!(
+        orders.contains(&Order::Revoke { slice: 0, endpoint: endpoint(0) }) && grants(&orders).is_empty()
+    );
 }
 
 /// When levels are rates, a share of 1.0 must not be sent as a rate of one RPC a second.
@@ -898,15 +939,16 @@
     assigner.servers[0].learned_limit = Some(0.1);
     assigner.start_handover(0, Some(2), false);
     let orders = assigner.handle(secs(100.1), &[Event::Timer]);
-    let shares = |orders: &[Order]| -> Vec<f64> {
-        let share = |order: &Order| if let Order::Level { share, .. } = order { Some(*share) } else { None };
-        orders.iter().filter_map(share).collect()
+    let levels = |orders: &[Order]| -> Vec<f64> {
+        let level_of =
+            |order: &Order| if let Order::Level { level, .. } = order { Some(*level) } else { None };
+        orders.iter().filter_map(level_of).collect()
     };
-    assert_eq!(shares(&orders), [0.0]);
-    let acks = [0, 1].map(|proxy| Event::Acked { proxy, mark: 1, way: secs(0.1) });
+    assert_eq!(levels(&orders), [0.0]);
+    let acks = [0, 1].map(|proxy| Event::Acked { proxy, ack_seq: 1, transit: secs(0.1) });
     assigner.handle(secs(100.3), &acks);
     let orders = assigner.handle(secs(102.0), &[Event::Timer]);
-    assert_eq!((grants(&orders), shares(&orders)), (vec![(0, 2)], vec![ALL_LET_IN]));
+    assert_eq!((grants(&orders), levels(&orders)), (vec![(0, 2)], vec![LEVEL_ADMIT_ALL]));
 }
 
 /// An unreadable value must not count as absent, and an absent one must get the safe default.
@@ -958,7 +1000,7 @@
             assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.overhead", "260")]);
         (assigner.channel.queued_lines, assigner.channel.updated_at) =
             (fill * assigner.cfg.max_backlog_lines, secs(100.1));
-        assert_eq!(drain_server_0(&mut assigner).iter().any(Order::costs_a_line), starts, "fill {fill}");
+        assert_eq!(drain_server_0(&mut assigner).iter().any(Order::uses_channel_line), starts, "fill {fill}");
     }
 }
 
@@ -974,8 +1016,8 @@
     assert!(!grants(&first).is_empty());
     let revokes =
         |orders: &[Order]| orders.iter().filter(|order| matches!(order, Order::Revoke { .. })).count();
-    let mark = assigner.channel.last_ack_seq as u16;
-    let later = assigner.handle(secs(101.9), &[Event::Acked { proxy: 0, mark, way: secs(0.1) }]);
+    let ack_seq = assigner.channel.last_ack_seq as u16;
+    let later = assigner.handle(secs(101.9), &[Event::Acked { proxy: 0, ack_seq, transit: secs(0.1) }]);
     assert!(
         revokes(&later) > 100 && grants(&later).is_empty(),
         "{} {}",
@@ -985,7 +1027,7 @@
     // No acks are awaited, so the slices are granted as soon as the channel has capacity.
     let orders = assigner.handle(
         secs(110.0),
-        &[Event::Acked { proxy: 0, mark: assigner.channel.last_ack_seq as u16, way: secs(0.1) }],
+        &[Event::Acked { proxy: 0, ack_seq: assigner.channel.last_ack_seq as u16, transit: secs(0.1) }],
     );
     assert!(!grants(&orders).is_empty() && revokes(&orders) == 0);
 }
@@ -996,12 +1038,12 @@
 fn resent_call_waits_until_both_copies_fit_channel() {
     let mut assigner = assigner_with(2, &[(0, 1.0); 4]);
     (assigner.channel.queued_lines, assigner.channel.updated_at) = (3300.0, secs(100.0));
-    assert!(!assigner.may_send_again(1642) && assigner.may_send_again(1000));
+    assert!(!assigner.may_resend(1642) && assigner.may_resend(1000));
     assigner.handle(secs(101.0), &[Event::Timer]);
-    assert!(assigner.may_send_again(1500) && !assigner.may_send_again(1642), "{}", assigner.channel_lines());
-    let before = assigner.channel_lines();
-    assigner.sent_again(secs(101.0), 100);
-    assert_eq!(assigner.channel_lines() - before, 216.0);
+    assert!(assigner.may_resend(1500) && !assigner.may_resend(1642), "{}", assigner.queued_lines());
+    let before = assigner.queued_lines();
+    assigner.note_resent(secs(101.0), 100);
+    assert_eq!(assigner.queued_lines() - before, 216.0);
 }
 
 /// In a soak run with a backlog of 44 lines a proxy and a message overhead of 12, the overhead of four messages never
@@ -1012,8 +1054,8 @@
         let mut assigner =
             assigner_with_settings(&[("familyInfo.oneOwner", "0"), ("familyInfo.overhead", "750")]);
         let first = drain_server_0(&mut assigner);
-        assert!(first.iter().any(Order::costs_a_line));
-        assigner.servers[1].listed_status = Listed::Draining;
+        assert!(first.iter().any(Order::uses_channel_line));
+        assigner.servers[1].listed_status = ListedStatus::Draining;
         assigner.servers[1].not_ready_since = secs(100.1);
         (assigner.channel.queued_lines, assigner.channel.updated_at) =
             (fill * assigner.cfg.max_backlog_lines, secs(100.2));
--- a/crates/whinhill/src/interface.rs
+++ b/crates/whinhill/src/interface.rs
@@ -10,18 +10,18 @@
 
 /// Identifies an endpoint, that is, one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ep {
+pub struct EndpointId {
     /// A small number, valid at this assigner only; it is reused once nothing refers to the server any more.
     pub index: usize,
     /// The same at every assigner.
-    pub stable: u64,
+    pub stable_id: u64,
 }
 
-impl Ep {
+impl EndpointId {
     /// The weight of the endpoint for a slice in rendezvous hashing: the 64-bit finalizer of splitmix64 over the stable
     /// id and the slice.
-    pub fn weight(&self, slice: SliceId) -> u64 {
-        let mut x = self.stable ^ (slice as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    pub fn rendezvous_weight(&self, slice: SliceId) -> u64 {
+        let mut x = self.stable_id ^ (slice as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         x ^ (x >> 31)
@@ -39,7 +39,7 @@
 
 /// What the list of servers says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedStatus {
     /// It serves.
     Ready,
     /// It still serves, but is about to end.
@@ -51,10 +51,10 @@
 
 /// An entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    pub ep: Ep,
+pub struct ServerEntry {
+    pub endpoint: EndpointId,
     pub zone: ZoneId,
-    pub listed: Listed,
+    pub status: ListedStatus,
     /// Capacity in comparison with other servers' sizes; it has no unit.
     pub size: f64,
     /// When the server started; `None`: long ago.
@@ -80,16 +80,16 @@
     /// The busy fraction of its cores.
     pub cpu: Option<f64>,
     /// RPCs in flight there.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Those of them that are queued.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Recent service time, without the time in the queue.
-    pub service: Option<Duration>,
+    pub service_time: Option<Duration>,
 }
 
 /// The outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeOutcome {
     /// The server answered that it serves.
     Ok,
     /// It answered with an error.
@@ -100,33 +100,41 @@
     Unanswered,
 }
 
-/// What happened. `span` is the interval that a report covers.
+/// What happened. `interval` is the interval that a report covers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of servers, or changes of it, have come.
-    List { kind: ListKind, entries: Vec<Entry> },
-    /// A report of the tries that the joined proxies of a zone sent to a server for slices in custody. `wait` is the
+    List { kind: ListKind, entries: Vec<ServerEntry> },
+    /// A report of the tries that the joined proxies of a zone sent to a server for slices in custody. `mean_wait` is the
     /// mean wait of ok answers.
-    Met { ep: Ep, zone: ZoneId, tries: u64, lost: u64, wait: Duration, span: Duration, load: LoadReport },
+    TryReport {
+        endpoint: EndpointId,
+        zone: ZoneId,
+        tries: u64,
+        lost: u64,
+        mean_wait: Duration,
+        interval: Duration,
+        load: LoadReport,
+    },
     /// A report of the RPCs that came for a slice in custody.
-    Demand { slice: SliceId, method: MethodId, rpcs: u64, lost: u64, span: Duration },
+    Demand { slice: SliceId, method: MethodId, rpcs: u64, lost: u64, interval: Duration },
     /// A probe was answered, or was not in time.
-    Probed { ep: Ep, result: Probe, load: LoadReport },
+    Probed { endpoint: EndpointId, result: ProbeOutcome, load: LoadReport },
     /// A proxy's stream was opened.
-    Joined { proxy: ProxyId, zone: ZoneId },
+    ProxyJoined { proxy: ProxyId, zone: ZoneId },
     /// A proxy's stream was closed, or has broken.
-    Left { proxy: ProxyId },
-    /// A proxy acknowledges the message with the sequence number `mark`, and with it all earlier ones. `way` is the
+    ProxyLeft { proxy: ProxyId },
+    /// A proxy acknowledges the message with the sequence number `ack_seq`, and with it all earlier ones. `transit` is the
     /// transit time, from sending the orders until they took effect.
-    Acked { proxy: ProxyId, mark: u16, way: Duration },
+    Acked { proxy: ProxyId, ack_seq: u16, transit: Duration },
     /// This assigner has acquired custody of a slice.
-    Given { slice: SliceId },
+    SliceAcquired { slice: SliceId },
     /// This assigner has released a slice, or lost custody of it.
-    Taken { slice: SliceId },
-    /// A line of a slice's table as the store holds it; follows `Given`.
-    Stored { slice: SliceId, ep: Ep },
+    SliceReleased { slice: SliceId },
+    /// A line of a slice's table as the store holds it; follows `SliceAcquired`.
+    StoredOwner { slice: SliceId, endpoint: EndpointId },
     /// Operators request that the slice moves to another server. The next plan moves it, if that server has headroom.
-    Wished { slice: SliceId, to: Ep },
+    MoveRequested { slice: SliceId, destination: EndpointId },
     /// Nothing happened, but time has passed.
     Timer,
 }
@@ -147,24 +155,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandoverSummary {
     /// Handovers in progress.
-    pub under_way: usize,
+    pub in_progress: usize,
     /// Those of them whose slice has no line now.
     pub without_line: usize,
     /// For how long the first of these slices has had no line.
-    pub without_line_for: Duration,
+    pub longest_without_line: Duration,
     /// Proxies that have not acknowledged yet, those of the oldest handover first.
-    pub awaited: Vec<ProxyId>,
+    pub awaited_proxies: Vec<ProxyId>,
     /// Handovers that ended with a grant.
-    pub granted: u64,
+    pub granted_count: u64,
     /// The longest time that such a handover took.
-    pub longest: Duration,
+    pub longest_duration: Duration,
 }
 
 impl Event {
     /// The interval that a report covers.
-    pub fn span(&self) -> Option<Duration> {
+    pub fn interval(&self) -> Option<Duration> {
         match self {
-            Event::Met { span, .. } | Event::Demand { span, .. } => Some(*span),
+            Event::TryReport { interval, .. } | Event::Demand { interval, .. } => Some(*interval),
             _ => None,
         }
     }
@@ -174,26 +182,26 @@
 pub type MethodMask = u32;
 
 /// A level that admits everything, whether levels are shares or rates: far more than a proxy could ever be sent.
-pub const ALL_LET_IN: f64 = 1e6;
+pub const LEVEL_ADMIT_ALL: f64 = 1e6;
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Make `ep` the slice's owner in every proxy's table and in the store. Where slices are exclusive, its line
+    /// Make `endpoint` the slice's owner in every proxy's table and in the store. Where slices are exclusive, its line
     /// replaces another owner's; elsewhere that line stays until it is revoked.
-    Grant { slice: SliceId, ep: Ep },
+    Grant { slice: SliceId, endpoint: EndpointId },
     /// Remove the owner's line from every proxy's table.
-    Revoke { slice: SliceId, ep: Ep },
+    Revoke { slice: SliceId, endpoint: EndpointId },
     /// Set the level of some methods of a slice: the share of their RPCs that is admitted, or their rate.
-    Level { slice: SliceId, share: f64, methods: MethodMask, tries: u8 },
-    /// Request that every joined proxy acknowledges the message of this reply with the sequence number `mark`.
-    Mark { mark: u16 },
+    Level { slice: SliceId, level: f64, methods: MethodMask, tries: u8 },
+    /// Request that every joined proxy acknowledges the message of this reply with the sequence number `ack_seq`.
+    RequestAck { ack_seq: u16 },
     /// Request the changes of the list from now on.
-    Watch,
+    WatchList,
     /// Request the whole list once.
-    Fetch,
+    FetchList,
     /// Probe a server.
-    Probe { ep: Ep },
+    Probe { endpoint: EndpointId },
     /// Call the assigner again after this time, even if nothing happens.
     Wake { after: Duration },
     /// Write a text to the log.
@@ -202,10 +210,14 @@
 
 impl Order {
     /// Whether the order takes a line in the message to each proxy.
-    pub fn costs_a_line(&self) -> bool {
+    pub fn uses_channel_line(&self) -> bool {
         !matches!(
             self,
-            Order::Log { .. } | Order::Probe { .. } | Order::Watch | Order::Fetch | Order::Wake { .. }
+            Order::Log { .. }
+                | Order::Probe { .. }
+                | Order::WatchList
+                | Order::FetchList
+                | Order::Wake { .. }
         )
     }
 }
@@ -261,7 +273,7 @@
     }
 
     /// A value that may be absent: `None` if the setting is missing. One that cannot be read is an error all the same.
-    pub fn optional<T>(&self, value: Result<T, SettingsError>) -> Result<Option<T>, SettingsError> {
+    pub fn if_present<T>(&self, value: Result<T, SettingsError>) -> Result<Option<T>, SettingsError> {
         match value {
             Ok(value) => Ok(Some(value)),
             Err(error) if error.value.is_none() => Ok(None),
@@ -270,7 +282,7 @@
     }
 
     /// A duration, written in milliseconds.
-    pub fn span(&self, path: &str) -> Result<Duration, SettingsError> {
+    pub fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
         let ms = self.get::<f64>(path)?;
         Duration::try_from_secs_f64(ms / 1e3).map_err(|_| self.error(path))
     }
--- a/crates/whinhill/src/settings.rs
+++ b/crates/whinhill/src/settings.rs
@@ -84,7 +84,7 @@
         let writes = settings.flags("familyInfo.mutating")?;
         let method = |k: usize| {
             Ok(Method {
-                soft_deadline: settings.span(&format!("classes.{k}.objective"))?,
+                soft_deadline: settings.duration(&format!("classes.{k}.objective"))?,
                 criticality: settings.get(&format!("classes.{k}.points"))?,
                 writes: writes.get(k).copied().unwrap_or(true),
             })
@@ -96,9 +96,10 @@
             methods.iter().map(|m| m.soft_deadline.as_secs_f64()).sum::<f64>() / methods.len().max(1) as f64;
         let mut methods_by_criticality: Vec<usize> = (0..methods.len()).collect();
         methods_by_criticality.sort_by(|a, b| methods[*a].criticality.total_cmp(&methods[*b].criticality));
-        let exclusive = settings.optional(settings.flag("familyInfo.oneOwner"))?.unwrap_or(true);
+        let exclusive = settings.if_present(settings.flag("familyInfo.oneOwner"))?.unwrap_or(true);
         let fence_writes = exclusive && methods.iter().any(|m| m.writes);
-        let admission = match settings.optional(settings.get::<String>("familyInfo.admission"))?.as_deref() {
+        let admission = match settings.if_present(settings.get::<String>("familyInfo.admission"))?.as_deref()
+        {
             None | Some("share") => Admission::Share,
             Some("rate") => Admission::Rate,
             Some("off") => Admission::Off,
@@ -109,8 +110,8 @@
         };
         // Where writes are not fenced, these durations have no effect and may be absent.
         let fencing_duration = |path: &str| match fence_writes {
-            true => settings.span(path),
-            false => Ok(settings.optional(settings.span(path))?.unwrap_or_default()),
+            true => settings.duration(path),
+            false => Ok(settings.if_present(settings.duration(path))?.unwrap_or_default()),
         };
         let write_lease = fencing_duration("familyInfo.writeLease")?;
         let settle_time = fencing_duration("familyInfo.inFlightMax")?;
@@ -119,34 +120,40 @@
         let never = Duration::from_secs(u64::from(u32::MAX));
         Ok(Config {
             watch_list,
-            max_list_request_interval: settings.optional(settings.span("rules.mustAskIn"))?.unwrap_or(never),
-            gone_is_advisory: settings.optional(settings.flag("rules.goneIsAdvice"))?.unwrap_or(false),
+            max_list_request_interval: settings
+                .if_present(settings.duration("rules.mustAskIn"))?
+                .unwrap_or(never),
+            gone_is_advisory: settings.if_present(settings.flag("rules.goneIsAdvice"))?.unwrap_or(false),
             may_probe: settings.flag("caps.mayProbe")?,
             methods,
             methods_by_criticality,
             mean_soft_deadline_s,
             tries: settings.get("familyInfo.retryDefault")?,
-            period: settings.span("familyInfo.period")?.max(Duration::from_millis(1)),
+            period: settings.duration("familyInfo.period")?.max(Duration::from_millis(1)),
             exclusive,
             fence_writes,
             admission,
             write_lease: if_fenced(write_lease),
             fenced_move_time: write_lease + settle_time,
             // Absent where the proxies are not counted: then some may never have joined.
-            total_proxies: settings.optional(settings.get("familyInfo.dataPlaneSize"))?.unwrap_or(usize::MAX),
-            total_assigners: settings.optional(settings.get("peersTotal"))?.unwrap_or(1),
+            total_proxies: settings
+                .if_present(settings.get("familyInfo.dataPlaneSize"))?
+                .unwrap_or(usize::MAX),
+            total_assigners: settings.if_present(settings.get("peersTotal"))?.unwrap_or(1),
             settle_time: if_fenced(settle_time),
-            max_time_without_line: settings.optional(settings.span("familyInfo.emptyFor"))?.unwrap_or(never),
-            drain_grace: settings.span("rules.stopSendingWithin")?,
-            max_transit: settings.span("familyInfo.transitMax")?,
-            warm_up_time: settings.span("rules.warmAfter")?.max(Duration::from_millis(1)),
+            max_time_without_line: settings
+                .if_present(settings.duration("familyInfo.emptyFor"))?
+                .unwrap_or(never),
+            drain_grace: settings.duration("rules.stopSendingWithin")?,
+            max_transit: settings.duration("familyInfo.transitMax")?,
+            warm_up_time: settings.duration("rules.warmAfter")?.max(Duration::from_millis(1)),
             cold_capacity: settings.get("rules.coldFrom")?,
             collapse_multiple: settings.get("rules.fallMultiple")?,
             message_overhead_lines: settings.get("familyInfo.overhead")?,
             lines_per_s: settings.get("familyInfo.linesPerS")?,
             max_backlog_lines: settings.get("familyInfo.backlog")?,
             max_messages: settings.get("familyInfo.messagesMost")?,
-            message_window: settings.span("familyInfo.reloadSpan")?,
+            message_window: settings.duration("familyInfo.reloadSpan")?,
         })
     }
 }
--- a/crates/whinhill/src/state.rs
+++ b/crates/whinhill/src/state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::assigner::{PROBE_MEMORY_HALF_LIFE, REPORT_LAG_INTERVALS};
-use crate::interface::{Entry, Ep, Listed, ProxyId, SliceId, ZoneId};
+use crate::interface::{EndpointId, ListedStatus, ProxyId, ServerEntry, SliceId, ZoneId};
 
 /// A sum that decays exponentially, brought up to date when it is read or added to.
 #[derive(Clone, Copy, Debug, Default)]
@@ -47,10 +47,10 @@
 /// What is known of a server.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
-    pub endpoint: Ep,
+    pub endpoint: EndpointId,
     pub zone: ZoneId,
     /// What the list says of it; still `Ready` where the list dropped it and `dropped_from_list` is set.
-    pub listed_status: Listed,
+    pub listed_status: ListedStatus,
     /// Its capacity in comparison with other servers' sizes.
     pub size: f64,
     /// When its process started; `None`: long ago.
@@ -152,11 +152,11 @@
 
 impl Server {
     /// The entry of a list that drops the server.
-    pub fn gone_entry(&self) -> Entry {
-        Entry {
-            ep: self.endpoint,
+    pub fn gone_entry(&self) -> ServerEntry {
+        ServerEntry {
+            endpoint: self.endpoint,
             zone: self.zone,
-            listed: Listed::Gone,
+            status: ListedStatus::Gone,
             size: self.size,
             started: self.started_at,
         }
@@ -168,7 +168,7 @@
         now: Duration,
         half_life: Duration,
         (tries, lost): (u64, u64),
-        wait: Duration,
+        mean_wait: Duration,
         interval: Duration,
     ) {
         let oks = tries.saturating_sub(lost) as f64;
@@ -177,7 +177,7 @@
         self.tries.add(now, half_life, tries as f64, interval);
         self.lost_tries.add(now, half_life, lost as f64, interval);
         self.ok_answers.add(now, half_life, oks, interval);
-        self.ok_wait_seconds.add(now, half_life, oks * wait.as_secs_f64(), interval);
+        self.ok_wait_seconds.add(now, half_life, oks * mean_wait.as_secs_f64(), interval);
         if oks > 0.0 {
             self.last_ok_at = self.last_ok_at.max(now);
             self.seen_serving = true;
