--- a/crates/whinhill-node/src/accepting.rs
+++ b/crates/whinhill-node/src/accepting.rs
@@ -178,7 +178,7 @@
     /// Marks a few unjoined clients, those connected for longest, to be closed after their next answers.
     fn close_unjoined_after_answers(&mut self) -> SlotAvailability {
         let stage = |connection: &Connection| match &connection.kind {
-            ConnectionKind::Client { peer, stage } if !peer.joined() => Some(*stage),
+            ConnectionKind::Client { peer, stage } if !peer.has_joined() => Some(*stage),
             ConnectionKind::Closing { .. } => Some(ClientStage::LastAnswerSent),
             _ => None,
         };
--- a/crates/whinhill-node/src/clients.rs
+++ b/crates/whinhill-node/src/clients.rs
@@ -1,7 +1,7 @@
 //! Answers to clients of the assigner's address, and the ends of their connections.
 
 use tracing::{debug, info};
-use whinhill_platform::peer::{Heard, ALIVE, ERROR};
+use whinhill_platform::peer::{PeerMessage, ALIVE, ERROR};
 
 use crate::connection::{ClientStage, Connection, ConnectionKind};
 use crate::connections::Id;
@@ -72,7 +72,7 @@
     pub fn begin_close(&mut self, id: Id) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let ConnectionKind::Client { peer, .. } = &connection.kind else { return };
-        self.unjoined_count -= usize::from(!peer.joined());
+        self.unjoined_count -= usize::from(!peer.has_joined());
         connection.kind = ConnectionKind::Closing { discarded: 0 };
         connection.shut_down_writes();
         self.deadlines.set(DeadlineKind::ConnectionTimeout(id), self.clock.now() + CLOSE_TIMEOUT);
@@ -125,7 +125,7 @@
     pub fn handle_client_eof(&mut self, id: Id) {
         let Some(connection) = self.connections.get(id) else { return };
         match &connection.kind {
-            ConnectionKind::Client { peer, .. } if peer.unfinished() && !peer.joined() => {
+            ConnectionKind::Client { peer, .. } if peer.has_partial_message() && !peer.has_joined() => {
                 self.refuse(id, RefusalReason::Unreadable);
             }
             ConnectionKind::Client { .. } if !connection.all_written() => self.begin_close(id),
@@ -142,18 +142,18 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.last_received_at = now;
         let ConnectionKind::Client { peer, .. } = &mut connection.kind else { return };
-        let (mut messages, was_joined) = (Vec::new(), peer.joined());
-        let result = peer.take(bytes, &self.names, &mut messages);
+        let (mut messages, was_joined) = (Vec::new(), peer.has_joined());
+        let result = peer.receive(bytes, &self.names, &mut messages);
         let (mut requests, mut zone) = (0, None);
         for message in messages {
             match message {
-                Heard::Report(event) => {
+                PeerMessage::Report(event) => {
                     self.counters.reports += 1;
                     self.pending_events.push(event);
                 }
-                Heard::AreYouAlive => requests += 1,
-                Heard::Joined(joined) => zone = Some(joined),
-                Heard::Dropped(error) => {
+                PeerMessage::LivenessCheck => requests += 1,
+                PeerMessage::Joined(joined) => zone = Some(joined),
+                PeerMessage::InvalidReport(error) => {
                     self.counters.reports_dropped += 1;
                     debug!("report dropped: {error}");
                 }
@@ -201,7 +201,7 @@
                 *stage = ClientStage::LastAnswerSent;
             } else {
                 *stage = ClientStage::Open;
-                if !peer.joined() {
+                if !peer.has_joined() {
                     // A client that sends requests is not silent.
                     self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now + JOIN_TIMEOUT);
                 }
--- a/crates/whinhill-node/src/connection.rs
+++ b/crates/whinhill-node/src/connection.rs
@@ -9,10 +9,10 @@
 use socket2::SockRef;
 use whinhill::interface::EndpointId;
 use whinhill_errors::is_short_of_memory;
-use whinhill_platform::discovery::Asking;
-use whinhill_platform::lines::Lines;
+use whinhill_platform::discovery::DiscoveryRequest;
+use whinhill_platform::lines::LineBuffer;
 use whinhill_platform::peer::Peer;
-use whinhill_platform::probe::Probing;
+use whinhill_platform::probe::ProbeExchange;
 
 use crate::pending_answers::PendingAnswers;
 
@@ -29,13 +29,13 @@
     /// The stream of updates from the relay.
     RelayWatch,
     /// Calls to the relay; carries the answer read so far.
-    RelayCalls(Lines),
+    RelayCalls(LineBuffer),
     /// A request to discovery: a watch or a fetch.
-    Discovery(Asking),
+    Discovery(DiscoveryRequest),
     /// A probe of a server.
     Probe {
         endpoint: EndpointId,
-        probing: Probing,
+        exchange: ProbeExchange,
         /// When the probe counts as unanswered.
         deadline: Duration,
     },
@@ -274,17 +274,17 @@
 
     /// Whether it is a client that has joined as a collector.
     pub fn has_joined(&self) -> bool {
-        matches!(&self.kind, ConnectionKind::Client { peer, .. } if peer.joined())
+        matches!(&self.kind, ConnectionKind::Client { peer, .. } if peer.has_joined())
     }
 
     /// Whether it is a client that has not joined.
     pub fn is_unjoined_client(&self) -> bool {
-        matches!(&self.kind, ConnectionKind::Client { peer, .. } if !peer.joined())
+        matches!(&self.kind, ConnectionKind::Client { peer, .. } if !peer.has_joined())
     }
 
     /// Whether a client has sent a part of a message and not its end.
     pub fn has_partial_message(&self) -> bool {
-        matches!(&self.kind, ConnectionKind::Client { peer, .. } if peer.unfinished())
+        matches!(&self.kind, ConnectionKind::Client { peer, .. } if peer.has_partial_message())
     }
 
     /// Whether it is a client that was sent its last answer and the end of the connection.
@@ -295,12 +295,12 @@
     /// What the connection is for, as logged.
     pub fn purpose(&self) -> &'static str {
         match &self.kind {
-            ConnectionKind::Client { peer, .. } if peer.joined() => "collector",
+            ConnectionKind::Client { peer, .. } if peer.has_joined() => "collector",
             ConnectionKind::Client { .. } => "client",
             ConnectionKind::Closing { .. } => "refused client",
             ConnectionKind::RelayWatch => "news",
             ConnectionKind::RelayCalls(_) => "calls",
-            ConnectionKind::Discovery(asking) if asking.is_watch() => "watch",
+            ConnectionKind::Discovery(request) if request.is_watch() => "watch",
             ConnectionKind::Discovery(_) => "list",
             ConnectionKind::Probe { .. } => "probe",
         }
--- a/crates/whinhill-node/src/deadlines.rs
+++ b/crates/whinhill-node/src/deadlines.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use whinhill_platform::relay::news::Place;
+use whinhill_platform::relay::watch::WatchSlot;
 
 use crate::connections::Id;
 
@@ -16,7 +16,7 @@
     /// The module asked to be woken.
     Wake,
     /// A relay watch has been silent.
-    RelayWatch(Place),
+    RelayWatch(WatchSlot),
     /// The relay watch is opened again.
     ReopenRelayWatch,
     /// A relay call may start.
--- a/crates/whinhill-node/src/discovery.rs
+++ b/crates/whinhill-node/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use tracing::{info, warn};
 use whinhill::interface::{Event, ListKind};
-use whinhill_platform::discovery::{self, Asking, Taken};
+use whinhill_platform::discovery::{self, DiscoveryRequest, ReceivedLists};
 use whinhill_platform::roster::Roster;
 
 use crate::connection::{Connection, ConnectionKind};
@@ -26,7 +26,7 @@
 
     fn is_discovery_watch_answered(&self, id: Id) -> bool {
         let kind = self.connections.get(id).map(|connection| &connection.kind);
-        matches!(kind, Some(ConnectionKind::Discovery(asking)) if asking.answered())
+        matches!(kind, Some(ConnectionKind::Discovery(request)) if request.has_response_head())
     }
 
     /// Opens a watch. A connect that fails immediately has not reached discovery and says nothing about it. It is
@@ -34,8 +34,12 @@
     fn open_discovery_watch(&mut self) {
         let addr = self.config.discovery;
         let request = discovery::watch_request(addr, self.list_version.held());
-        self.discovery_watch_connection =
-            self.connect(addr, ConnectionKind::Discovery(Asking::watch()), &request, DISCOVERY_TIMEOUT);
+        self.discovery_watch_connection = self.connect(
+            addr,
+            ConnectionKind::Discovery(DiscoveryRequest::watch()),
+            &request,
+            DISCOVERY_TIMEOUT,
+        );
         if self.discovery_watch_connection.is_some() {
             self.counters.discovery_watches += 1;
             return;
@@ -58,7 +62,7 @@
         let addr = self.config.discovery;
         let request = discovery::fetch_request(addr);
         if self
-            .connect(addr, ConnectionKind::Discovery(Asking::fetch()), &request, DISCOVERY_TIMEOUT)
+            .connect(addr, ConnectionKind::Discovery(DiscoveryRequest::fetch()), &request, DISCOVERY_TIMEOUT)
             .is_none()
         {
             self.deadlines.set(DeadlineKind::RetryFetch, self.clock.now() + CONNECT_RETRY_DELAY);
@@ -82,22 +86,22 @@
 
     /// Bytes of an answer from discovery arrived.
     pub fn handle_discovery_bytes(&mut self, id: Id, bytes: &[u8]) {
-        let Some(Connection { kind: ConnectionKind::Discovery(asking), .. }) = self.connections.get_mut(id)
+        let Some(Connection { kind: ConnectionKind::Discovery(request), .. }) = self.connections.get_mut(id)
         else {
             return;
         };
-        let is_watch = asking.is_watch();
-        let Taken { lists, alive, current, fault } = asking.take(bytes);
-        if is_watch && alive {
+        let is_watch = request.is_watch();
+        let ReceivedLists { lists, is_alive, is_current, error } = request.receive(bytes);
+        if is_watch && is_alive {
             self.deadlines
                 .set(DeadlineKind::ConnectionTimeout(id), self.clock.now() + DISCOVERY_WATCH_SILENCE_TIMEOUT);
         }
         let fetched = !is_watch && !lists.is_empty();
         let all_newer = lists.iter().all(|list| self.accept_list(list));
-        if current && all_newer {
+        if is_current && all_newer {
             self.server_starts.list_is_current(self.clock.now());
         }
-        match fault {
+        match error {
             _ if !all_newer => self.fail_discovery_request(id, "the version of its list decreased"),
             Some(error) => self.fail_discovery_request(id, &error.to_string()),
             None if fetched => drop(self.close(id)),
@@ -107,7 +111,7 @@
 
     /// Passes a list on to the module; `false` if it is older than the current one.
     fn accept_list(&mut self, list: &Roster) -> bool {
-        let Some(kind) = self.list_version.take(list) else {
+        let Some(kind) = self.list_version.accept(list) else {
             info!(held = self.list_version.held(), told = list.version, "older server list ignored");
             return false;
         };
@@ -115,7 +119,7 @@
             info!(version = list.version, "discovery answers again");
         }
         let servers = list.servers.len();
-        info!(version = list.version, whole = list.whole, servers, "server list received");
+        info!(version = list.version, whole = list.is_full, servers, "server list received");
         self.counters.lists += 1;
         self.push_list(kind, list);
         if std::mem::take(&mut self.relay_watch_awaits_list) {
@@ -126,11 +130,11 @@
 
     /// Discovery closed a connection.
     pub fn handle_discovery_eof(&mut self, id: Id) {
-        let Some(Connection { kind: ConnectionKind::Discovery(asking), .. }) = self.connections.get(id)
+        let Some(Connection { kind: ConnectionKind::Discovery(request), .. }) = self.connections.get(id)
         else {
             return;
         };
-        match asking.ended() {
+        match request.on_connection_end() {
             Ok(lists) => {
                 self.close(id);
                 if !lists.iter().all(|list| self.accept_list(list)) {
--- a/crates/whinhill-node/src/lib.rs
+++ b/crates/whinhill-node/src/lib.rs
@@ -64,7 +64,7 @@
 /// Reads a configuration file.
 pub fn read_config(path: &Path) -> Result<PlatformConfig, NodeError> {
     let text = std::fs::read(path).map_err(|source| NodeError::Read { path: path.into(), source })?;
-    config::read(&text).map_err(|source| NodeError::Config { path: path.into(), source })
+    config::parse(&text).map_err(|source| NodeError::Config { path: path.into(), source })
 }
 
 /// Serves until SIGTERM or SIGINT. SIGHUP makes it read the file again. `log_dropped` counts lost log lines, for
--- a/crates/whinhill-node/src/node.rs
+++ b/crates/whinhill-node/src/node.rs
@@ -17,10 +17,10 @@
 use whinhill::Assigner;
 use whinhill_names::Names;
 use whinhill_platform::config::PlatformConfig;
-use whinhill_platform::discovery::Version;
-use whinhill_platform::relay::calls::Calls;
-use whinhill_platform::relay::news::News;
+use whinhill_platform::discovery::VersionTracker;
+use whinhill_platform::relay::calls::CallQueue;
 use whinhill_platform::relay::orders::RelayOrder;
+use whinhill_platform::relay::watch::RelayWatch;
 use whinhill_platform::roster::Roster;
 use whinhill_starts::Starts;
 
@@ -94,14 +94,14 @@
     /// Least time between two batches.
     pub round_duration: Duration,
     /// Orders for the relay, queued or in flight.
-    pub relay_calls: Calls,
+    pub relay_calls: CallQueue,
     pub call_connection: Option<Id>,
     /// When the call connection last carried a call or an answer.
     pub call_connection_used_at: Duration,
     /// The call connection leads to a former address: it finishes the call in flight and starts no other.
     pub call_connection_outdated: bool,
     /// What the relay has reported.
-    pub relay_watch: News,
+    pub relay_watch: RelayWatch,
     pub relay_watch_connection: Option<Id>,
     /// The watch connection to a new address, while the one to the former address still counts.
     pub next_relay_watch_connection: Option<Id>,
@@ -110,7 +110,7 @@
     /// Delay before the next attempt to open the relay watch.
     pub relay_watch_retry_delay: Duration,
     /// The version of the server list.
-    pub list_version: Version,
+    pub list_version: VersionTracker,
     /// When servers started.
     pub server_starts: Starts,
     /// The relay watch is not opened before discovery has sent a list.
@@ -155,9 +155,9 @@
         let signals = retry_at_startup("signals", || Signals::new([SIGHUP, SIGTERM, SIGINT]));
         let mut signals = signals.map_err(io_error("signals"))?;
         let mut config = read_config_with_retry(path)?;
-        let empty_list = Roster { version: 0, whole: true, servers: Vec::new() };
+        let empty_list = Roster { version: 0, is_full: true, servers: Vec::new() };
         let stored_list =
-            std::mem::replace(&mut config.known, Ok(empty_list.clone())).unwrap_or_else(|error| {
+            std::mem::replace(&mut config.stored_list, Ok(empty_list.clone())).unwrap_or_else(|error| {
                 warn!("the stored server list cannot be used: {error}");
                 empty_list
             });
@@ -194,7 +194,7 @@
         let max_probes = (config.limits.sockets / SOCKETS_PER_PROBE).clamp(MIN_PROBE_LIMIT, MAX_PROBE_LIMIT);
         let mut node = Node {
             names: Names::new(&config.settings),
-            list_version: Version::new(stored_list.version),
+            list_version: VersionTracker::new(stored_list.version),
             server_starts: Starts::default(),
             max_clients: config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + max_probes).max(8),
             poll,
@@ -219,11 +219,11 @@
             pending_events: Vec::new(),
             last_batch_at: Duration::ZERO,
             round_duration,
-            relay_calls: Calls::default(),
+            relay_calls: CallQueue::default(),
             call_connection: None,
             call_connection_used_at: Duration::ZERO,
             call_connection_outdated: false,
-            relay_watch: News::default(),
+            relay_watch: RelayWatch::default(),
             relay_watch_connection: None,
             next_relay_watch_connection: None,
             relay_watch_outdated: false,
@@ -278,9 +278,9 @@
                 Order::Log { text } => info!("{text}"),
                 other => {
                     debug!(target: TRACE, "order {other:?}");
-                    let order = RelayOrder::of(&other, &self.names);
+                    let order = RelayOrder::from_order(&other, &self.names);
                     if let Some(RelayOrder::Line { slice, .. }) = order {
-                        self.relay_watch.line_ordered(slice);
+                        self.relay_watch.note_line_ordered(slice);
                     }
                     relay_orders.extend(order);
                 }
--- a/crates/whinhill-node/src/probes.rs
+++ b/crates/whinhill-node/src/probes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use whinhill::interface::{EndpointId, Event, LoadReport, ProbeOutcome};
-use whinhill_platform::probe::{self, Probing};
+use whinhill_platform::probe::{self, ProbeExchange};
 
 use crate::connection::{Connection, ConnectionKind};
 use crate::connections::Id;
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct PostponedProbe {
     endpoint: EndpointId,
-    probing: Probing,
+    exchange: ProbeExchange,
     /// When the probe counts as unanswered.
     deadline: Duration,
 }
@@ -33,7 +33,7 @@
             let Some(addr) = self.server_addrs.get(endpoint.index).copied().flatten() else { continue };
             self.counters.probes += 1;
             let deadline = self.clock.now() + PROBE_TIMEOUT;
-            if !self.open_probe(endpoint, addr, Probing::default(), deadline) {
+            if !self.open_probe(endpoint, addr, ProbeExchange::default(), deadline) {
                 // Other probes would most likely fail now as well.
                 break;
             }
@@ -44,17 +44,17 @@
         &mut self,
         endpoint: EndpointId,
         addr: SocketAddr,
-        probing: Probing,
+        exchange: ProbeExchange,
         deadline: Duration,
     ) -> bool {
-        let (retry_probing, time_left) = (probing.clone(), deadline.saturating_sub(self.clock.now()));
-        let kind = ConnectionKind::Probe { endpoint, probing, deadline };
+        let (retry_exchange, time_left) = (exchange.clone(), deadline.saturating_sub(self.clock.now()));
+        let kind = ConnectionKind::Probe { endpoint, exchange, deadline };
         let opened = self.connect(addr, kind, &probe::request(addr), time_left).is_some();
         if opened {
             self.probe_queue.add_connection(endpoint.index);
         } else {
             // The failure is local and says nothing about the server; a retry may succeed.
-            self.postpone_probe(PostponedProbe { endpoint, probing: retry_probing, deadline });
+            self.postpone_probe(PostponedProbe { endpoint, exchange: retry_exchange, deadline });
         }
         opened
     }
@@ -77,7 +77,7 @@
                 continue;
             };
             if self.probe_queue.has_capacity() {
-                self.open_probe(postponed.endpoint, addr, postponed.probing, postponed.deadline);
+                self.open_probe(postponed.endpoint, addr, postponed.exchange, postponed.deadline);
             } else {
                 self.postpone_probe(postponed);
             }
@@ -87,13 +87,13 @@
 
     /// Bytes of a probe's answer arrived.
     pub fn handle_probe_bytes(&mut self, id: Id, bytes: &[u8]) {
-        let Some(Connection { kind: ConnectionKind::Probe { endpoint, probing, .. }, .. }) =
+        let Some(Connection { kind: ConnectionKind::Probe { endpoint, exchange, .. }, .. }) =
             self.connections.get_mut(id)
         else {
             return;
         };
         let endpoint = *endpoint;
-        if let Some((result, load)) = probing.take(bytes) {
+        if let Some((result, load)) = exchange.receive(bytes) {
             self.finish_probe(id, endpoint, result, load);
         }
     }
@@ -101,21 +101,21 @@
     /// The connection of a probe ended.
     pub fn handle_probe_eof(&mut self, id: Id) {
         let now = self.clock.now();
-        let Some(Connection { kind: ConnectionKind::Probe { endpoint, probing, deadline }, .. }) =
+        let Some(Connection { kind: ConnectionKind::Probe { endpoint, exchange, deadline }, .. }) =
             self.connections.get_mut(id)
         else {
             return;
         };
         let (endpoint, deadline) = (*endpoint, *deadline);
-        if let Some((result, load)) = probing.ended() {
+        if let Some((result, load)) = exchange.on_connection_end() {
             return self.finish_probe(id, endpoint, result, load);
         }
-        let probing = std::mem::take(probing);
+        let exchange = std::mem::take(exchange);
         match self.server_addrs.get(endpoint.index).copied().flatten().filter(|_| now < deadline) {
             Some(addr) => {
                 self.close(id);
                 self.counters.probes_retried += 1;
-                self.open_probe(endpoint, addr, probing, deadline);
+                self.open_probe(endpoint, addr, exchange, deadline);
             }
             None => self.finish_probe(id, endpoint, ProbeOutcome::Unanswered, LoadReport::default()),
         }
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -6,10 +6,10 @@
 use tracing::{info, warn};
 use whinhill::interface::{Event, ListKind, ListedStatus, ServerEntry, SliceId, LEVEL_ADMIT_ALL};
 use whinhill::Assigner;
-use whinhill_platform::lines::Lines;
-use whinhill_platform::relay::calls::{Calls, Outcome};
-use whinhill_platform::relay::news::{self, Owed, Place, Told};
+use whinhill_platform::lines::LineBuffer;
+use whinhill_platform::relay::calls::{CallOutcome, CallQueue};
 use whinhill_platform::relay::orders::RelayOrder;
+use whinhill_platform::relay::watch::{self, PendingWork, WatchSlot, WatchUpdate};
 
 use crate::connection::{Connection, ConnectionKind};
 use crate::connections::Id;
@@ -29,135 +29,137 @@
         if self.relay_watch_awaits_list {
             return;
         }
-        let place = match (self.relay_watch_connection, self.next_relay_watch_connection) {
-            (None, None) => Place::Current,
-            (Some(_), None) if self.relay_watch_outdated => Place::Next,
+        let slot = match (self.relay_watch_connection, self.next_relay_watch_connection) {
+            (None, None) => WatchSlot::Current,
+            (Some(_), None) if self.relay_watch_outdated => WatchSlot::Next,
             _ => return,
         };
         let Some(id) =
-            self.connect(self.config.relay, ConnectionKind::RelayWatch, news::REQUEST, CONNECT_TIMEOUT)
+            self.connect(self.config.relay, ConnectionKind::RelayWatch, watch::REQUEST, CONNECT_TIMEOUT)
         else {
-            return self.lose_relay_watch(place, "cannot connect");
+            return self.lose_relay_watch(slot, "cannot connect");
         };
-        match place {
-            Place::Current => (self.relay_watch_connection, self.relay_watch_outdated) = (Some(id), false),
-            Place::Next => self.next_relay_watch_connection = Some(id),
+        match slot {
+            WatchSlot::Current => {
+                (self.relay_watch_connection, self.relay_watch_outdated) = (Some(id), false)
+            }
+            WatchSlot::Next => self.next_relay_watch_connection = Some(id),
         }
-        self.relay_watch.opened(place, self.clock.now());
-        self.schedule_relay_watch_timeout(place);
+        self.relay_watch.on_connected(slot, self.clock.now());
+        self.schedule_relay_watch_timeout(slot);
     }
 
     /// Sets or clears the timeout of a relay watch.
-    fn schedule_relay_watch_timeout(&mut self, place: Place) {
-        match self.relay_watch.due_at(place) {
-            Some(at) => self.deadlines.set(DeadlineKind::RelayWatch(place), at),
-            None => self.deadlines.clear(DeadlineKind::RelayWatch(place)),
+    fn schedule_relay_watch_timeout(&mut self, slot: WatchSlot) {
+        match self.relay_watch.timeout_at(slot) {
+            Some(at) => self.deadlines.set(DeadlineKind::RelayWatch(slot), at),
+            None => self.deadlines.clear(DeadlineKind::RelayWatch(slot)),
         }
     }
 
-    fn relay_watch_place(&self, id: Id) -> Place {
+    fn relay_watch_slot(&self, id: Id) -> WatchSlot {
         if self.next_relay_watch_connection == Some(id) {
-            Place::Next
+            WatchSlot::Next
         } else {
-            Place::Current
+            WatchSlot::Current
         }
     }
 
     /// The connection of a relay watch ended.
     pub fn handle_relay_watch_end(&mut self, id: Id, why: &str) {
-        self.lose_relay_watch(self.relay_watch_place(id), why);
+        self.lose_relay_watch(self.relay_watch_slot(id), why);
     }
 
     /// Closes a relay watch that failed and schedules the next attempt.
-    fn lose_relay_watch(&mut self, place: Place, why: &str) {
-        let was_live = place == Place::Current && self.relay_watch.live();
+    fn lose_relay_watch(&mut self, slot: WatchSlot, why: &str) {
+        let was_live = slot == WatchSlot::Current && self.relay_watch.is_live();
         self.counters.relay_watches_lost += u64::from(was_live);
-        let id = match place {
-            Place::Current => self.relay_watch_connection.take(),
-            Place::Next => self.next_relay_watch_connection.take(),
+        let id = match slot {
+            WatchSlot::Current => self.relay_watch_connection.take(),
+            WatchSlot::Next => self.next_relay_watch_connection.take(),
         };
         id.into_iter().for_each(|id| drop(self.close(id)));
-        self.relay_watch.closed(place);
-        if !self.relay_watch.live() && !std::mem::replace(&mut self.relay_watch_failing, true) {
+        self.relay_watch.on_disconnected(slot);
+        if !self.relay_watch.is_live() && !std::mem::replace(&mut self.relay_watch_failing, true) {
             warn!(
-                proxies = self.relay_watch.proxies(),
-                slices = self.relay_watch.slices(),
+                proxies = self.relay_watch.proxy_count(),
+                slices = self.relay_watch.slice_count(),
                 "no news of the relay: {why}"
             );
         }
-        self.deadlines.clear(DeadlineKind::RelayWatch(place));
+        self.deadlines.clear(DeadlineKind::RelayWatch(slot));
         self.deadlines.set(DeadlineKind::ReopenRelayWatch, self.clock.now() + self.relay_watch_retry_delay);
         self.relay_watch_retry_delay = (self.relay_watch_retry_delay * 2).min(MAX_RELAY_WATCH_RETRY_DELAY);
     }
 
     /// Nothing arrived on a relay watch before its timeout.
-    pub fn handle_relay_watch_timeout(&mut self, place: Place) {
-        let connection = match place {
-            Place::Current => self.relay_watch_connection,
-            Place::Next => self.next_relay_watch_connection,
+    pub fn handle_relay_watch_timeout(&mut self, slot: WatchSlot) {
+        let connection = match slot {
+            WatchSlot::Current => self.relay_watch_connection,
+            WatchSlot::Next => self.next_relay_watch_connection,
         };
         // Data that has arrived counts before the timeout does.
         if connection.is_some_and(|id| self.check_before_timeout(id)) {
-            return self.deadlines.set(DeadlineKind::RelayWatch(place), self.clock.now() + RECHECK_DELAY);
+            return self.deadlines.set(DeadlineKind::RelayWatch(slot), self.clock.now() + RECHECK_DELAY);
         }
         let (now, mut updates) = (self.clock.now(), Vec::new());
         let pending = pending_orders(&self.relay_calls, &self.assigner);
-        let alive = self.relay_watch.passed(place, now, &mut self.names, pending, &mut updates);
+        let alive = self.relay_watch.on_timeout(slot, now, &mut self.names, pending, &mut updates);
         self.handle_relay_updates(updates);
-        let place = self.promote_next_relay_watch(place);
+        let slot = self.promote_next_relay_watch(slot);
         if alive {
-            self.schedule_relay_watch_timeout(place);
+            self.schedule_relay_watch_timeout(slot);
         } else {
-            self.lose_relay_watch(place, "silent");
+            self.lose_relay_watch(slot, "silent");
         }
     }
 
     /// Bytes arrived on a relay watch.
     pub fn handle_relay_watch_bytes(&mut self, id: Id, bytes: &[u8]) {
         self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
-        let (place, now, mut updates) = (self.relay_watch_place(id), self.clock.now(), Vec::new());
+        let (slot, now, mut updates) = (self.relay_watch_slot(id), self.clock.now(), Vec::new());
         let pending = pending_orders(&self.relay_calls, &self.assigner);
-        let result = self.relay_watch.take(place, now, bytes, &mut self.names, pending, &mut updates);
+        let result = self.relay_watch.receive(slot, now, bytes, &mut self.names, pending, &mut updates);
         self.handle_relay_updates(updates);
-        let place = self.promote_next_relay_watch(place);
+        let slot = self.promote_next_relay_watch(slot);
         match result {
-            Ok(()) => self.schedule_relay_watch_timeout(place),
-            Err(error) => self.lose_relay_watch(place, &error.to_string()),
+            Ok(()) => self.schedule_relay_watch_timeout(slot),
+            Err(error) => self.lose_relay_watch(slot, &error.to_string()),
         }
     }
 
     /// Once the watch at the new address has sent the complete current state, it replaces the watch at the former
     /// address.
-    fn promote_next_relay_watch(&mut self, place: Place) -> Place {
-        if place == Place::Current || self.relay_watch.is_open(Place::Next) {
-            return place;
+    fn promote_next_relay_watch(&mut self, slot: WatchSlot) -> WatchSlot {
+        if slot == WatchSlot::Current || self.relay_watch.is_open(WatchSlot::Next) {
+            return slot;
         }
-        self.deadlines.clear(DeadlineKind::RelayWatch(Place::Next));
+        self.deadlines.clear(DeadlineKind::RelayWatch(WatchSlot::Next));
         let next = self.next_relay_watch_connection.take();
         if let Some(former) = std::mem::replace(&mut self.relay_watch_connection, next) {
             self.close(former);
         }
         self.relay_watch_outdated = false;
-        Place::Current
+        WatchSlot::Current
     }
 
     /// Turns updates from the relay watch into events and orders.
-    fn handle_relay_updates(&mut self, updates: Vec<Told>) {
+    fn handle_relay_updates(&mut self, updates: Vec<WatchUpdate>) {
         let now = self.clock.now();
         for update in updates {
             match update {
-                Told::Event(event) => {
+                WatchUpdate::Event(event) => {
                     if let Event::SliceReleased { slice } | Event::SliceAcquired { slice } = event {
-                        self.relay_calls.forget(slice);
+                        self.relay_calls.drop_orders_of(slice);
                     }
                     self.pending_events.push(event);
                 }
-                Told::Acked { proxy, ack_seq, transit } => {
-                    let transit = self.relay_calls.since_order(now, ack_seq, transit);
+                WatchUpdate::Acked { proxy, ack_seq, transit } => {
+                    let transit = self.relay_calls.transit_since_order(now, ack_seq, transit);
                     self.pending_events.push(Event::Acked { proxy, ack_seq, transit });
                 }
-                Told::Anew { slice, differs } => {
-                    if differs {
+                WatchUpdate::Reacquired { slice, line_differs } => {
+                    if line_differs {
                         self.counters.lines_differing += 1;
                         info!(slice, "the store holds another line");
                     } else {
@@ -165,17 +167,17 @@
                     }
                     self.reacquire_slice(slice);
                 }
-                Told::Extra { slice, server } => {
+                WatchUpdate::ExtraLine { slice, server } => {
                     info!(slice, server, "a line other than the owner's is removed");
                     self.relay_calls.push(now, [RelayOrder::Line { slice, server, on: false }]);
                 }
-                Told::Settled { again } => {
+                WatchUpdate::SnapshotComplete { after_break } => {
                     (self.relay_watch_retry_delay, self.relay_watch_failing) =
                         (MIN_RELAY_WATCH_RETRY_DELAY, false);
-                    let (proxies, slices) = (self.relay_watch.proxies(), self.relay_watch.slices());
-                    info!(proxies, slices, again, "news of the relay stand");
-                    if again {
-                        self.relay_calls.mark_again(now);
+                    let (proxies, slices) = (self.relay_watch.proxy_count(), self.relay_watch.slice_count());
+                    info!(proxies, slices, again = after_break, "news of the relay stand");
+                    if after_break {
+                        self.relay_calls.request_last_ack_again(now);
                     }
                 }
             }
@@ -185,7 +187,7 @@
     /// Treats the slice as acquired now, with the line that the store holds, and orders that all its methods are
     /// admitted.
     fn reacquire_slice(&mut self, slice: usize) {
-        self.relay_calls.forget(slice);
+        self.relay_calls.drop_orders_of(slice);
         self.pending_events.push(Event::SliceAcquired { slice });
         if let Some(name) = self.relay_watch.line_of(slice) {
             let endpoint = self.names.endpoint(name);
@@ -201,14 +203,14 @@
     /// Starts a call if one is due and the relay watch has reported which slices are in this assigner's custody.
     pub fn start_relay_call(&mut self) {
         let now = self.clock.now();
-        let Some(at) = self.relay_calls.due_at() else { return };
+        let Some(at) = self.relay_calls.next_call_at() else { return };
         if at > now {
             return self.deadlines.set(DeadlineKind::RelayCall, at);
         }
-        if !self.relay_watch.live() {
+        if !self.relay_watch.is_live() {
             return;
         }
-        if let Some((orders, since)) = self.relay_calls.in_doubt() {
+        if let Some((orders, since)) = self.relay_calls.possibly_applied() {
             // If the call was carried out, its orders are in the channel already and would be queued a second time.
             if now < since + MAX_UNKNOWN_OUTCOME_WAIT && !self.assigner.may_resend(orders) {
                 return self.deadlines.set(DeadlineKind::RelayCall, now + UNKNOWN_OUTCOME_CHECK_INTERVAL);
@@ -231,7 +233,7 @@
             self.deadlines.set(DeadlineKind::ConnectionTimeout(id), now + CALL_TIMEOUT);
             return self.handle_write_outcome(id, Ok(outcome));
         }
-        let kind = ConnectionKind::RelayCalls(Lines::new(MAX_ANSWER_BYTES));
+        let kind = ConnectionKind::RelayCalls(LineBuffer::new(MAX_ANSWER_BYTES));
         self.call_connection = self.connect(self.config.relay, kind, text.as_bytes(), CONNECT_TIMEOUT);
         if self.call_connection.is_none() {
             self.handle_lost_call("cannot connect");
@@ -251,32 +253,32 @@
             Ok(Some(line)) => line.to_vec(),
             Err(_) => Vec::new(),
         };
-        let has_more = !lines.rest().is_empty();
-        if !self.relay_calls.under_way() || has_more {
+        let has_more = !lines.partial_line().is_empty();
+        if !self.relay_calls.has_call_in_flight() || has_more {
             // The extra data answers no call; the next call would take it for its own answer.
             return self.handle_lost_call("out of step");
         }
         self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
         self.call_connection_used_at = now;
-        match self.relay_calls.answered(now, &line) {
-            Outcome::Done => {}
-            Outcome::Short { dropped } => self.handle_partial_call(dropped),
-            Outcome::NotDone { reason } if reason == "throttled" => self.counters.calls_throttled += 1,
-            Outcome::NotDone { reason } => warn!("the relay rejected a call: {reason}"),
-            Outcome::Unknown => {
-                info!(unknown = self.relay_calls.unknown, "unreadable answer from the relay");
+        match self.relay_calls.on_answer(now, &line) {
+            CallOutcome::Applied => {}
+            CallOutcome::PartlyApplied { rejected } => self.handle_partial_call(rejected),
+            CallOutcome::NotApplied { reason } if reason == "throttled" => self.counters.calls_throttled += 1,
+            CallOutcome::NotApplied { reason } => warn!("the relay rejected a call: {reason}"),
+            CallOutcome::Unknown => {
+                info!(unknown = self.relay_calls.unknown_outcomes, "unreadable answer from the relay");
                 self.close(id);
             }
         }
         for set in self.relay_calls.take_confirmed() {
-            self.relay_watch.confirmed(set);
+            self.relay_watch.note_line_confirmed(set);
         }
     }
 
     /// The relay stopped at an order. A server that the relay does not know is reported to the module as gone.
-    fn handle_partial_call(&mut self, dropped: RelayOrder) {
-        warn!("the relay rejected an order: {dropped:?}");
-        let RelayOrder::Line { server, on: true, .. } = dropped else { return };
+    fn handle_partial_call(&mut self, rejected: RelayOrder) {
+        warn!("the relay rejected an order: {rejected:?}");
+        let RelayOrder::Line { server, on: true, .. } = rejected else { return };
         let Some(endpoint) = self.names.known(&server) else { return };
         let entry = ServerEntry { endpoint, zone: 0, status: ListedStatus::Gone, size: 1.0, started: None };
         self.pending_events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
@@ -291,13 +293,13 @@
         if let Some(id) = self.call_connection.take() {
             self.close(id);
         }
-        match self.relay_calls.lost(now, fully_written) {
-            Outcome::Unknown => {
-                info!(unknown = self.relay_calls.unknown, "a call's outcome is unknown: {why}")
+        match self.relay_calls.on_connection_lost(now, fully_written) {
+            CallOutcome::Unknown => {
+                info!(unknown = self.relay_calls.unknown_outcomes, "a call's outcome is unknown: {why}")
             }
-            Outcome::NotDone { .. } => {
+            CallOutcome::NotApplied { .. } => {
                 self.counters.calls_not_sent += 1;
-                self.relay_calls.pause(now);
+                self.relay_calls.delay_next_call(now);
             }
             _ => {}
         }
@@ -308,7 +310,7 @@
     pub fn switch_relay_address(&mut self) {
         if let Some(id) = self.next_relay_watch_connection.take() {
             self.close(id);
-            self.relay_watch.closed(Place::Next);
+            self.relay_watch.on_disconnected(WatchSlot::Next);
         }
         self.relay_watch_outdated = self.relay_watch_connection.is_some();
         self.relay_watch_retry_delay = MIN_RELAY_WATCH_RETRY_DELAY;
@@ -318,9 +320,9 @@
 }
 
 /// The orders that are pending for a slice: in calls, or in a handover of the module.
-fn pending_orders<'a>(calls: &'a Calls, assigner: &'a Assigner) -> impl Fn(SliceId) -> Owed + 'a {
-    |slice| match calls.owed(slice) {
-        Owed::Nothing if assigner.has_handover(slice) => Owed::Handover,
-        owed => owed,
+fn pending_orders<'a>(calls: &'a CallQueue, assigner: &'a Assigner) -> impl Fn(SliceId) -> PendingWork + 'a {
+    |slice| match calls.pending_work(slice) {
+        PendingWork::Nothing if assigner.has_handover(slice) => PendingWork::Handover,
+        pending => pending,
     }
 }
--- a/crates/whinhill-node/src/server_lists.rs
+++ b/crates/whinhill-node/src/server_lists.rs
@@ -14,7 +14,7 @@
     /// Passes a list to the module as an event.
     pub fn push_list(&mut self, kind: ListKind, list: &Roster) {
         let mut entries = Vec::with_capacity(list.servers.len());
-        if list.whole {
+        if list.is_full {
             self.listed_servers.clear();
         }
         for server in &list.servers {
@@ -29,7 +29,7 @@
                 _ => self.listed_servers.insert(endpoint.index),
             };
             let reading = Reading { now: self.clock.now(), wall: self.clock.wall() };
-            let started = self.server_starts.started(reading, &server.name, server.started_ms);
+            let started = self.server_starts.started(reading, &server.name, server.started_unix_ms);
             let zone = self.names.zone(&server.zone);
             entries.push(ServerEntry { endpoint, zone, status: server.status, size: server.size, started });
         }
--- a/crates/whinhill-node/src/shutdown.rs
+++ b/crates/whinhill-node/src/shutdown.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tracing::info;
-use whinhill_platform::relay::news::Place;
+use whinhill_platform::relay::watch::WatchSlot;
 
 use crate::clients::RefusalReason;
 use crate::connection::{ClientStage, Connection, ConnectionKind};
@@ -23,7 +23,7 @@
             return;
         }
         let now = self.clock.now();
-        info!(waiting = self.relay_calls.waiting(), clients = self.client_count, "shutdown requested");
+        info!(waiting = self.relay_calls.queued_orders(), clients = self.client_count, "shutdown requested");
         self.shutdown_started_at = Some(now);
         self.deadlines.clear(DeadlineKind::RetryConfig);
         self.close_where(|kind| matches!(kind, ConnectionKind::Probe { .. }));
@@ -43,7 +43,7 @@
         let Some(since) = self.shutdown_started_at else { return Ok(false) };
         let now = self.clock.now();
         let elapsed = now.saturating_sub(since);
-        let calls_pending = self.relay_calls.waiting() > 0 || self.relay_calls.under_way();
+        let calls_pending = self.relay_calls.queued_orders() > 0 || self.relay_calls.has_call_in_flight();
         if !self.outgoing_closed && (!calls_pending || elapsed >= SHUTDOWN_CALLS_DURATION) {
             self.close_outgoing_connections();
         }
@@ -76,9 +76,9 @@
         self.close_where(|kind| {
             !matches!(kind, ConnectionKind::Client { .. } | ConnectionKind::Closing { .. })
         });
-        for place in [Place::Current, Place::Next] {
-            self.relay_watch.closed(place);
-            self.deadlines.clear(DeadlineKind::RelayWatch(place));
+        for slot in [WatchSlot::Current, WatchSlot::Next] {
+            self.relay_watch.on_disconnected(slot);
+            self.deadlines.clear(DeadlineKind::RelayWatch(slot));
         }
         for kind in [
             DeadlineKind::Wake,
@@ -138,7 +138,7 @@
             requests = self.counters.requests,
             unanswered = self.counters.requests_unanswered,
             closed_unanswered = self.counters.closed_unanswered,
-            waiting = self.relay_calls.waiting(),
+            waiting = self.relay_calls.queued_orders(),
             "ends"
         );
         Ok(())
--- a/crates/whinhill-node/src/sockets.rs
+++ b/crates/whinhill-node/src/sockets.rs
@@ -63,7 +63,7 @@
             ConnectionKind::Closing { .. } => self.client_count -= 1,
             ConnectionKind::Client { peer, .. } => {
                 self.client_count -= 1;
-                self.unjoined_count -= usize::from(!peer.joined());
+                self.unjoined_count -= usize::from(!peer.has_joined());
             }
             ConnectionKind::Probe { endpoint, .. } => self.probe_queue.remove_connection(endpoint.index),
             _ => {}
--- a/crates/whinhill-node/src/status_log.rs
+++ b/crates/whinhill-node/src/status_log.rs
@@ -133,14 +133,14 @@
         self.forget_unlisted_servers();
         self.log_beliefs();
         info!(
-            proxies = self.relay_watch.proxies(),
-            slices = self.relay_watch.slices(),
+            proxies = self.relay_watch.proxy_count(),
+            slices = self.relay_watch.slice_count(),
             servers = self.names.servers().count(),
             connections = self.connections.len(),
             strangers = self.unjoined_count,
-            waiting = self.relay_calls.waiting(),
-            unknown = self.relay_calls.unknown,
-            dropped = self.relay_calls.dropped,
+            waiting = self.relay_calls.queued_orders(),
+            unknown = self.relay_calls.unknown_outcomes,
+            dropped = self.relay_calls.dropped_orders,
             memory_kb = resident_kb(),
             longest_pause_ms = self.longest_pause.as_millis() as u64,
             log_dropped = self.log_dropped.load(Ordering::Relaxed),
@@ -268,7 +268,7 @@
             let name = self.names.server(server).unwrap_or("-");
             debug!(target: BELIEFS, "server {server} {name} {health:?} load {load:.2} owns {own:?} moving {moving:?}");
         }
-        debug!(target: BELIEFS, "channel {:.0} lines, {} queued orders", self.assigner.queued_lines(), self.relay_calls.waiting());
+        debug!(target: BELIEFS, "channel {:.0} lines, {} queued orders", self.assigner.queued_lines(), self.relay_calls.queued_orders());
         self.deadlines.set(DeadlineKind::LogBeliefs, self.clock.now() + BELIEFS_INTERVAL);
     }
 }
--- a/crates/whinhill-platform/src/config.rs
+++ b/crates/whinhill-platform/src/config.rs
@@ -42,7 +42,7 @@
     pub limits: Limits,
     /// The list of servers as this assigner last had it; it may be old. An invalid one does not keep the assigner from
     /// serving, because discovery has a newer one.
-    pub known: Result<Roster, RosterError>,
+    pub stored_list: Result<Roster, RosterError>,
     /// The settings of the assigner.
     pub settings: Settings,
 }
@@ -74,7 +74,7 @@
 }
 
 /// Parses the text of the file. Errors name the path of the invalid field.
-pub fn read(text: &[u8]) -> Result<PlatformConfig, ConfigError> {
+pub fn parse(text: &[u8]) -> Result<PlatformConfig, ConfigError> {
     let file: ConfigFile = serde_json::from_slice(text)?;
     let addr = |path, value: &str| {
         value.parse().map_err(|_| ConfigError::Field { path, value: value.chars().take(100).collect() })
@@ -92,7 +92,7 @@
         name: file.name,
         seed,
         limits: file.limits,
-        known: Roster::from_value(file.known),
+        stored_list: Roster::from_value(file.known),
         settings,
     })
 }
--- a/crates/whinhill-platform/src/discovery.rs
+++ b/crates/whinhill-platform/src/discovery.rs
@@ -5,7 +5,7 @@
 use whinhill::interface::ListKind;
 
 use crate::http::{self, HttpError, ResponseReader};
-use crate::lines::{Lines, TooLong};
+use crate::lines::{LineBuffer, TooLong};
 use crate::roster::{Roster, RosterError};
 
 /// Maximum size of a list: thousands of servers at about 150 bytes each.
@@ -45,40 +45,40 @@
 
 /// What received bytes contained.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct ReceivedLists {
     /// The lists that became complete, in order.
     pub lists: Vec<Roster>,
     /// The head of the response or a line became complete. Other bytes are no sign of life: a list may stall halfway.
-    pub alive: bool,
+    pub is_alive: bool,
     /// A list became complete, or a watch reported that nothing has changed.
-    pub current: bool,
+    pub is_current: bool,
     /// Why the connection must be closed, after the lists before the error were handled.
-    pub fault: Option<DiscoveryError>,
+    pub error: Option<DiscoveryError>,
 }
 
 /// A request in progress. A watch yields any number of lists, a fetch yields one at its end.
 #[derive(Debug)]
-pub struct Asking {
+pub struct DiscoveryRequest {
     watch: bool,
     response: ResponseReader,
     body: Vec<u8>,
-    lines: Lines,
+    lines: LineBuffer,
 }
 
-impl Asking {
+impl DiscoveryRequest {
     /// A watch.
     pub fn watch() -> Self {
-        Asking {
+        DiscoveryRequest {
             watch: true,
             response: ResponseReader::default(),
             body: Vec::new(),
-            lines: Lines::new(MAX_LIST_BYTES),
+            lines: LineBuffer::new(MAX_LIST_BYTES),
         }
     }
 
     /// A request for the whole list.
     pub fn fetch() -> Self {
-        Asking { watch: false, ..Self::watch() }
+        DiscoveryRequest { watch: false, ..Self::watch() }
     }
 
     /// Whether it is a watch.
@@ -87,42 +87,42 @@
     }
 
     /// Whether the head of the response was received.
-    pub fn answered(&self) -> bool {
+    pub fn has_response_head(&self) -> bool {
         self.response.status().is_some()
     }
 
     /// Handles received bytes. The lists that they complete are valid even if what follows them is not.
-    pub fn take(&mut self, bytes: &[u8]) -> Taken {
-        let (mut received, had_head) = (Taken::default(), self.answered());
+    pub fn receive(&mut self, bytes: &[u8]) -> ReceivedLists {
+        let (mut received, had_head) = (ReceivedLists::default(), self.has_response_head());
         let pushed = self.response.push(bytes, &mut self.body).map_err(DiscoveryError::from);
         let parsed = match self.response.status() {
             Some(status) if status != 200 => Err(DiscoveryError::Status(status)),
             _ if self.watch => self.parse_lines(&mut received),
             _ => self.parse_body(&mut received),
         };
-        received.alive = received.current || self.answered() && !had_head;
-        received.fault = parsed.and(pushed).err();
+        received.is_alive = received.is_current || self.has_response_head() && !had_head;
+        received.error = parsed.and(pushed).err();
         received
     }
 
     /// Parses the lines of a watch: lists, and empty lines as heartbeats.
-    fn parse_lines(&mut self, received: &mut Taken) -> Result<(), DiscoveryError> {
+    fn parse_lines(&mut self, received: &mut ReceivedLists) -> Result<(), DiscoveryError> {
         self.lines.push(&self.body);
         self.body.clear();
         while let Some(line) = self.lines.next_line()? {
             if !line.iter().all(u8::is_ascii_whitespace) {
-                received.lists.push(Roster::read(line)?);
+                received.lists.push(Roster::parse(line)?);
             }
-            received.current = true;
+            received.is_current = true;
         }
         Ok(())
     }
 
     /// Parses the list of a fetch once it is complete.
-    fn parse_body(&mut self, received: &mut Taken) -> Result<(), DiscoveryError> {
+    fn parse_body(&mut self, received: &mut ReceivedLists) -> Result<(), DiscoveryError> {
         if self.response.is_complete() {
-            received.lists.push(Roster::read(&self.body)?);
-            received.current = true;
+            received.lists.push(Roster::parse(&self.body)?);
+            received.is_current = true;
         } else if self.body.len() > MAX_LIST_BYTES {
             return Err(TooLong(MAX_LIST_BYTES).into());
         }
@@ -130,9 +130,9 @@
     }
 
     /// Handles the end of the connection, which completes a response that has no length.
-    pub fn ended(&self) -> Result<Vec<Roster>, DiscoveryError> {
+    pub fn on_connection_end(&self) -> Result<Vec<Roster>, DiscoveryError> {
         if !self.watch && self.response.status() == Some(200) && self.response.is_complete_at_eof() {
-            return Ok(vec![Roster::read(&self.body)?]);
+            return Ok(vec![Roster::parse(&self.body)?]);
         }
         Err(DiscoveryError::Short)
     }
@@ -140,16 +140,16 @@
 
 /// Tracks the version of the list that we hold, and rejects older lists.
 #[derive(Debug, Default)]
-pub struct Version {
+pub struct VersionTracker {
     held: u64,
     /// Older lists received in a row.
     older_in_row: u32,
 }
 
-impl Version {
+impl VersionTracker {
     /// Starts with the version of the list that we hold.
     pub fn new(held: u64) -> Self {
-        Version { held, older_in_row: 0 }
+        VersionTracker { held, older_in_row: 0 }
     }
 
     /// The version of the list that we hold.
@@ -159,15 +159,15 @@
 
     /// How a received list is applied; `None` if it is older than ours and must not undo it. A discovery that started
     /// over sends only older lists, so a full list is accepted after a few of them.
-    pub fn take(&mut self, list: &Roster) -> Option<ListKind> {
+    pub fn accept(&mut self, list: &Roster) -> Option<ListKind> {
         if list.version < self.held {
             self.older_in_row += 1;
-            if !list.whole || self.older_in_row < OLDER_LISTS_UNTIL_ACCEPTED {
+            if !list.is_full || self.older_in_row < OLDER_LISTS_UNTIL_ACCEPTED {
                 return None;
             }
         }
         (self.held, self.older_in_row) = (list.version, 0);
-        Some(if list.whole { ListKind::Full } else { ListKind::Changes })
+        Some(if list.is_full { ListKind::Full } else { ListKind::Changes })
     }
 }
 
--- a/crates/whinhill-platform/src/discovery/tests.rs
+++ b/crates/whinhill-platform/src/discovery/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn list(version: u64, whole: bool) -> Roster {
-    Roster { version, whole, servers: Vec::new() }
+fn list(version: u64, is_full: bool) -> Roster {
+    Roster { version, is_full, servers: Vec::new() }
 }
 
 /// The lists of a result without an error.
-fn lists_of(received: Taken) -> Vec<Roster> {
-    assert!(received.fault.is_none(), "{received:?}");
+fn lists_of(received: ReceivedLists) -> Vec<Roster> {
+    assert!(received.error.is_none(), "{received:?}");
     received.lists
 }
 
@@ -23,23 +23,23 @@
         format!("{HEAD}{}what is no chunk\r\n", chunk(good)),
     ];
     for input in bad {
-        let received = Asking::watch().take(input.as_bytes());
+        let received = DiscoveryRequest::watch().receive(input.as_bytes());
         assert_eq!(received.lists, [list(1, true)], "{input:?}");
-        assert!(received.fault.is_some(), "{input:?}");
+        assert!(received.error.is_some(), "{input:?}");
     }
 }
 
 /// Bytes that complete neither the head nor a line are no sign of life: a list may stall halfway for good.
 #[test]
 fn only_the_head_and_whole_lines_are_signs_of_life() {
-    let mut watch = Asking::watch();
+    let mut watch = DiscoveryRequest::watch();
     let (begin, end) = HEAD.as_bytes().split_at(20);
-    let signs = |received: Taken| (received.alive, received.current);
-    assert_eq!(signs(watch.take(begin)), (false, false));
-    assert_eq!(signs(watch.take(end)), (true, false));
-    assert_eq!(signs(watch.take(b"9\r\n{\"index\"")), (false, false));
-    let mut watch = Asking::watch();
-    assert_eq!(signs(watch.take(format!("{HEAD}1\r\n\n\r\n").as_bytes())), (true, true));
+    let signs = |received: ReceivedLists| (received.is_alive, received.is_current);
+    assert_eq!(signs(watch.receive(begin)), (false, false));
+    assert_eq!(signs(watch.receive(end)), (true, false));
+    assert_eq!(signs(watch.receive(b"9\r\n{\"index\"")), (false, false));
+    let mut watch = DiscoveryRequest::watch();
+    assert_eq!(signs(watch.receive(format!("{HEAD}1\r\n\n\r\n").as_bytes())), (true, true));
 }
 
 #[test]
@@ -52,29 +52,29 @@
         input.extend_from_slice(b"\r\n");
     }
     for piece in [1, 3, 17, input.len()] {
-        let mut asking = Asking::watch();
-        let lists: Vec<Roster> = input.chunks(piece).flat_map(|b| lists_of(asking.take(b))).collect();
+        let mut request = DiscoveryRequest::watch();
+        let lists: Vec<Roster> = input.chunks(piece).flat_map(|b| lists_of(request.receive(b))).collect();
         assert_eq!(lists, [list(1, true), list(2, false)], "in pieces of {piece}");
-        assert!(asking.ended().is_err(), "a watch never ends well");
+        assert!(request.on_connection_end().is_err(), "a watch never ends well");
     }
 }
 
 #[test]
 fn error_status_or_truncated_list_is_a_failure() {
-    assert!(Asking::fetch().take(b"HTTP/1.1 503 Busy\r\n\r\n").fault.is_some());
-    let mut asking = Asking::fetch();
-    let received = asking.take(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":1");
+    assert!(DiscoveryRequest::fetch().receive(b"HTTP/1.1 503 Busy\r\n\r\n").error.is_some());
+    let mut request = DiscoveryRequest::fetch();
+    let received = request.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":1");
     assert!(lists_of(received).is_empty());
-    assert!(asking.ended().is_err());
+    assert!(request.on_connection_end().is_err());
 }
 
 /// An old list must not bring back a server that is known to drain.
 #[test]
 fn older_list_is_rejected_until_it_persists() {
-    let mut version = Version::new(5);
-    assert_eq!(version.take(&list(6, false)), Some(ListKind::Changes));
-    assert_eq!(version.take(&list(5, true)), None);
-    assert_eq!(version.take(&list(6, true)), Some(ListKind::Full));
-    assert_eq!([0; 3].map(|_| version.take(&list(2, true))), [None, None, Some(ListKind::Full)]);
+    let mut version = VersionTracker::new(5);
+    assert_eq!(version.accept(&list(6, false)), Some(ListKind::Changes));
+    assert_eq!(version.accept(&list(5, true)), None);
+    assert_eq!(version.accept(&list(6, true)), Some(ListKind::Full));
+    assert_eq!([0; 3].map(|_| version.accept(&list(2, true))), [None, None, Some(ListKind::Full)]);
     assert_eq!(version.held(), 2);
 }
--- a/crates/whinhill-platform/src/lib.rs
+++ b/crates/whinhill-platform/src/lib.rs
@@ -3,8 +3,8 @@
 //! this crate only.
 //!
 //! ```
-//! use whinhill_platform::lines::Lines;
-//! let mut lines = Lines::new(64);
+//! use whinhill_platform::lines::LineBuffer;
+//! let mut lines = LineBuffer::new(64);
 //! lines.push(b"* hello 1");
 //! assert_eq!(lines.next_line(), Ok(None));
 //! lines.push(b"7 a 21.5 1\r\n");
--- a/crates/whinhill-platform/src/lines.rs
+++ b/crates/whinhill-platform/src/lines.rs
@@ -7,7 +7,7 @@
 
 /// A buffer of received bytes that yields whole lines.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineBuffer {
     bytes: Vec<u8>,
     /// Where the next line starts.
     start: usize,
@@ -19,10 +19,10 @@
 /// Capacity above which an empty buffer is freed: it has grown for a long line.
 const MAX_RETAINED_CAPACITY: usize = 16 * 1024;
 
-impl Lines {
+impl LineBuffer {
     /// A buffer for lines of at most `max_bytes` bytes.
     pub fn new(max_bytes: usize) -> Self {
-        Lines { bytes: Vec::new(), start: 0, searched: 0, max_bytes }
+        LineBuffer { bytes: Vec::new(), start: 0, searched: 0, max_bytes }
     }
 
     /// Changes the maximum length of lines from now on.
@@ -62,7 +62,7 @@
     }
 
     /// The received bytes of the line that is not complete yet.
-    pub fn rest(&self) -> &[u8] {
+    pub fn partial_line(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 }
--- a/crates/whinhill-platform/src/lines/tests.rs
+++ b/crates/whinhill-platform/src/lines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn split(input: &[u8], piece: usize) -> Vec<Vec<u8>> {
-    let (mut lines, mut got) = (Lines::new(1000), Vec::new());
+    let (mut lines, mut got) = (LineBuffer::new(1000), Vec::new());
     for bytes in input.chunks(piece) {
         lines.push(bytes);
         while let Some(line) = lines.next_line().unwrap() {
@@ -24,7 +24,7 @@
 
 #[test]
 fn line_without_an_end_is_refused_with_its_bound() {
-    let mut lines = Lines::new(10);
+    let mut lines = LineBuffer::new(10);
     lines.push(b"0123456789");
     assert_eq!(lines.next_line(), Ok(None));
     lines.push(b"0");
--- a/crates/whinhill-platform/src/peer.rs
+++ b/crates/whinhill-platform/src/peer.rs
@@ -5,7 +5,7 @@
 use whinhill::interface::{Event, ZoneId};
 use whinhill_names::Names;
 
-use crate::lines::{Lines, TooLong};
+use crate::lines::{LineBuffer, TooLong};
 use crate::reports::{self, ReportError};
 
 /// Maximum size of a message, as the protocol defines it.
@@ -20,15 +20,15 @@
 
 /// A message of a peer.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum PeerMessage {
     /// A collector reports.
     Report(Event),
     /// A liveness check. The caller writes [`ALIVE`].
-    AreYouAlive,
+    LivenessCheck,
     /// The peer has joined as the collector of a zone.
     Joined(ZoneId),
     /// A report was invalid and is ignored; the connection goes on.
-    Dropped(ReportError),
+    InvalidReport(ReportError),
 }
 
 /// Why a connection must be closed.
@@ -57,13 +57,13 @@
 /// A connection to the assigner's address.
 #[derive(Debug)]
 pub struct Peer {
-    lines: Lines,
+    lines: LineBuffer,
     zone: Option<ZoneId>,
 }
 
 impl Default for Peer {
     fn default() -> Self {
-        Peer { lines: Lines::new(MAX_UNJOINED_MESSAGE_BYTES), zone: None }
+        Peer { lines: LineBuffer::new(MAX_UNJOINED_MESSAGE_BYTES), zone: None }
     }
 }
 
@@ -74,35 +74,40 @@
     }
 
     /// Whether the peer has joined as a collector.
-    pub fn joined(&self) -> bool {
+    pub fn has_joined(&self) -> bool {
         self.zone.is_some()
     }
 
     /// Whether a part of a message was received and its end was not.
-    pub fn unfinished(&self) -> bool {
-        self.lines.rest().iter().any(|b| !b.is_ascii_whitespace())
+    pub fn has_partial_message(&self) -> bool {
+        self.lines.partial_line().iter().any(|b| !b.is_ascii_whitespace())
     }
 
     /// Handles received bytes. Messages before an error are still valid.
-    pub fn take(&mut self, bytes: &[u8], names: &Names, messages: &mut Vec<Heard>) -> Result<(), PeerError> {
+    pub fn receive(
+        &mut self,
+        bytes: &[u8],
+        names: &Names,
+        messages: &mut Vec<PeerMessage>,
+    ) -> Result<(), PeerError> {
         self.lines.push(bytes);
         while let Some(line) = self.lines.next_line()? {
             let message = parse_object(line).ok_or(PeerError::Malformed)?;
             let joined = self.zone.is_some();
             match parse_message(&message, joined, names) {
-                Ok(Heard::Joined(zone)) => {
+                Ok(PeerMessage::Joined(zone)) => {
                     self.zone = Some(zone);
-                    messages.push(Heard::Joined(zone));
+                    messages.push(PeerMessage::Joined(zone));
                     self.lines.set_max_bytes(MAX_MESSAGE_BYTES);
                 }
                 Ok(other) => messages.push(other),
-                Err(error) if joined => messages.push(Heard::Dropped(error)),
+                Err(error) if joined => messages.push(PeerMessage::InvalidReport(error)),
                 Err(ReportError::Unknown("site")) => return Err(PeerError::UnknownZone),
                 Err(_) => return Err(PeerError::NotJoined),
             }
         }
         // A message that cannot become valid is refused by its first byte, because its end may never come.
-        let first = self.lines.rest().iter().find(|b| !b.is_ascii_whitespace());
+        let first = self.lines.partial_line().iter().find(|b| !b.is_ascii_whitespace());
         if first.is_some_and(|b| *b != b'{') {
             return Err(PeerError::Malformed);
         }
@@ -117,15 +122,19 @@
     }
 }
 
-fn parse_message(message: &Map<String, Value>, joined: bool, names: &Names) -> Result<Heard, ReportError> {
+fn parse_message(
+    message: &Map<String, Value>,
+    joined: bool,
+    names: &Names,
+) -> Result<PeerMessage, ReportError> {
     match reports::text_field(message, "@type")? {
-        "probe" => Ok(Heard::AreYouAlive),
+        "probe" => Ok(PeerMessage::LivenessCheck),
         "agent" => {
             let zone = names.known_zone(reports::text_field(message, "site")?);
-            zone.map(Heard::Joined).ok_or(ReportError::Unknown("site"))
+            zone.map(PeerMessage::Joined).ok_or(ReportError::Unknown("site"))
         }
-        "outcomes" if joined => reports::parse_try_report(message, names).map(Heard::Report),
-        "hot" if joined => reports::parse_demand(message, names).map(Heard::Report),
+        "outcomes" if joined => reports::parse_try_report(message, names).map(PeerMessage::Report),
+        "hot" if joined => reports::parse_demand(message, names).map(PeerMessage::Report),
         _ => Err(ReportError::Unknown("@type")),
     }
 }
--- a/crates/whinhill-platform/src/peer/tests.rs
+++ b/crates/whinhill-platform/src/peer/tests.rs
@@ -7,9 +7,9 @@
     Names::new(&Settings(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()))
 }
 
-fn receive(input: &[u8], piece: usize) -> (Vec<Heard>, Result<(), PeerError>) {
+fn receive(input: &[u8], piece: usize) -> (Vec<PeerMessage>, Result<(), PeerError>) {
     let (mut peer, mut messages) = (Peer::default(), Vec::new());
-    let result = input.chunks(piece).try_for_each(|bytes| peer.take(bytes, &names(), &mut messages));
+    let result = input.chunks(piece).try_for_each(|bytes| peer.receive(bytes, &names(), &mut messages));
     (messages, result)
 }
 
@@ -26,10 +26,10 @@
         assert!(matches!(
             messages[..],
             [
-                Heard::Joined(0),
-                Heard::Report(_),
-                Heard::Dropped(ReportError::Unknown("lane")),
-                Heard::Report(_)
+                PeerMessage::Joined(0),
+                PeerMessage::Report(_),
+                PeerMessage::InvalidReport(ReportError::Unknown("lane")),
+                PeerMessage::Report(_)
             ]
         ));
     }
@@ -37,7 +37,7 @@
 
 #[test]
 fn unknown_peers_are_refused_by_what_they_send() {
-    assert_eq!(receive(b"{\"@type\":\"probe\"}\n", 3), (vec![Heard::AreYouAlive], Ok(())));
+    assert_eq!(receive(b"{\"@type\":\"probe\"}\n", 3), (vec![PeerMessage::LivenessCheck], Ok(())));
     let unknown_type = b"{\"@type\":\"hello\",\"id\":1}\n".as_slice();
     let unterminated = [b"{".as_slice(), &[b' '; 5000]].concat();
     for (input, wanted) in [
--- a/crates/whinhill-platform/src/probe.rs
+++ b/crates/whinhill-platform/src/probe.rs
@@ -17,16 +17,16 @@
 
 /// A probe in progress.
 #[derive(Clone, Debug, Default)]
-pub struct Probing {
+pub struct ProbeExchange {
     response: ResponseReader,
     body: Vec<u8>,
     /// This is the second connection, after the first was reset.
     retried: bool,
 }
 
-impl Probing {
+impl ProbeExchange {
     /// Handles received bytes. Returns the result once the response is complete or invalid.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<(ProbeOutcome, LoadReport)> {
+    pub fn receive(&mut self, bytes: &[u8]) -> Option<(ProbeOutcome, LoadReport)> {
         let pushed = self.response.push(bytes, &mut self.body);
         if pushed.is_err() || self.body.len() > MAX_BODY_BYTES {
             return Some((ProbeOutcome::Unanswered, LoadReport::default()));
@@ -37,11 +37,12 @@
     /// Handles the end or the reset of the connection. `None`: the server is to be probed once more, within the same
     /// deadline. One reset may be caused by the network or a full backlog; a dead server resets the second connection
     /// as well.
-    pub fn ended(&mut self) -> Option<(ProbeOutcome, LoadReport)> {
+    pub fn on_connection_end(&mut self) -> Option<(ProbeOutcome, LoadReport)> {
         if self.response.is_complete_at_eof() {
             return Some(self.result());
         }
-        let was_retried = std::mem::replace(self, Probing { retried: true, ..Probing::default() }).retried;
+        let was_retried =
+            std::mem::replace(self, ProbeExchange { retried: true, ..ProbeExchange::default() }).retried;
         was_retried.then_some((ProbeOutcome::Unanswered, LoadReport::default()))
     }
 
--- a/crates/whinhill-platform/src/relay.rs
+++ b/crates/whinhill-platform/src/relay.rs
@@ -2,5 +2,5 @@
 //! stream reports what happened.
 
 pub mod calls;
-pub mod news;
 pub mod orders;
+pub mod watch;
--- a/crates/whinhill-platform/src/relay/calls.rs
+++ b/crates/whinhill-platform/src/relay/calls.rs
@@ -11,8 +11,8 @@
 use whinhill::interface::SliceId;
 use whinhill_names::Names;
 
-use super::news::Owed;
 use super::orders::RelayOrder;
+use super::watch::PendingWork;
 
 /// Maximum size of the orders in one call, as the protocol defines it.
 const MAX_CALL_BYTES: usize = 60_000;
@@ -31,16 +31,16 @@
 
 /// The outcome of a call.
 #[derive(Debug, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// All orders were applied.
-    Done,
-    /// The orders before `dropped` were applied. The relay rejected `dropped`, and it is not sent again.
-    Short {
+    Applied,
+    /// The orders before `rejected` were applied. The relay rejected `rejected`, and it is not sent again.
+    PartlyApplied {
         /// The rejected order.
-        dropped: RelayOrder,
+        rejected: RelayOrder,
     },
     /// No order was applied: the relay does not accept calls yet, it reported an error, or the call was not sent.
-    NotDone {
+    NotApplied {
         /// The relay's error text, or why the call was not sent.
         reason: String,
     },
@@ -84,7 +84,7 @@
 
 /// The queue of orders for the relay and the call in flight.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallQueue {
     queue: VecDeque<QueuedOrder>,
     in_flight: Option<InFlightCall>,
     retry_at: Duration,
@@ -93,15 +93,15 @@
     unknown_since: Duration,
     ack_times: VecDeque<AckTimes>,
     last_ack_seq: Option<u16>,
-    /// Lines confirmed by the store since [`Calls::take_confirmed`] was last called.
+    /// Lines confirmed by the store since [`CallQueue::take_confirmed`] was last called.
     confirmed: Vec<ConfirmedLine>,
     /// Number of calls whose outcome was unknown.
-    pub unknown: u64,
+    pub unknown_outcomes: u64,
     /// Number of orders that were dropped because the relay did not accept them.
-    pub dropped: u64,
+    pub dropped_orders: u64,
 }
 
-impl Calls {
+impl CallQueue {
     /// Queues the orders of one reply. Queued orders that they supersede are removed.
     pub fn push(&mut self, now: Duration, orders: impl IntoIterator<Item = RelayOrder>) {
         for order in orders {
@@ -133,7 +133,7 @@
     }
 
     /// Requests the last ack from every proxy again, because answers may have been lost with the watch stream.
-    pub fn mark_again(&mut self, now: Duration) {
+    pub fn request_last_ack_again(&mut self, now: Duration) {
         if let Some(ack_seq) = self.last_ack_seq {
             self.push(now, [RelayOrder::Mark(ack_seq)]);
             self.track_ack(ack_seq, now.saturating_sub(MAX_TRANSIT));
@@ -173,7 +173,7 @@
     }
 
     /// Delays the next call, because the relay could not be reached.
-    pub fn pause(&mut self, now: Duration) {
+    pub fn delay_next_call(&mut self, now: Duration) {
         self.retry_at = self.retry_at.max(now + UNREACHABLE_RETRY_DELAY);
     }
 
@@ -183,29 +183,29 @@
     }
 
     /// When the next call may start; `None` if no orders are queued or a call is in flight.
-    pub fn due_at(&self) -> Option<Duration> {
+    pub fn next_call_at(&self) -> Option<Duration> {
         (self.in_flight.is_none() && !self.queue.is_empty()).then_some(self.retry_at)
     }
 
     /// How many of the queued orders may have been applied already, and since when that is unknown.
-    pub fn in_doubt(&self) -> Option<(usize, Duration)> {
+    pub fn possibly_applied(&self) -> Option<(usize, Duration)> {
         let orders = self.queue.iter().filter(|q| q.maybe_applied).count();
         (orders > 0).then_some((orders, self.unknown_since))
     }
 
     /// Whether a call is in flight.
-    pub fn under_way(&self) -> bool {
+    pub fn has_call_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
     /// Number of queued orders, without those of the call in flight.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_orders(&self) -> usize {
         self.queue.len()
     }
 
     /// Handles the answer to the call in flight.
-    pub fn answered(&mut self, now: Duration, line: &[u8]) -> Outcome {
-        let Some(call) = self.in_flight.take() else { return Outcome::Unknown };
+    pub fn on_answer(&mut self, now: Duration, line: &[u8]) -> CallOutcome {
+        let Some(call) = self.in_flight.take() else { return CallOutcome::Unknown };
         let text = String::from_utf8_lossy(line);
         if let Some(reason) = text.strip_prefix("ERR ") {
             let reason: String = reason.chars().take(100).collect();
@@ -213,13 +213,13 @@
             self.retry_at = now + REFUSED_RETRY_DELAY;
             if reason != "throttled" && self.errors >= MAX_ERRORS {
                 self.errors = 0;
-                self.dropped += call.orders.len() as u64;
-                return Outcome::NotDone {
+                self.dropped_orders += call.orders.len() as u64;
+                return CallOutcome::NotApplied {
                     reason: format!("{reason}, {} orders dropped", call.orders.len()),
                 };
             }
             self.requeue(call);
-            return Outcome::NotDone { reason };
+            return CallOutcome::NotApplied { reason };
         }
         let applied = text.strip_prefix("OK ").and_then(|n| n.trim().parse::<usize>().ok());
         let Some(applied) = applied.filter(|applied| *applied <= call.orders.len()) else {
@@ -238,28 +238,28 @@
             }
         }
         if rest.is_empty() {
-            return Outcome::Done;
+            return CallOutcome::Applied;
         }
-        let dropped = rest.remove(0).order;
-        self.dropped += 1;
+        let rejected = rest.remove(0).order;
+        self.dropped_orders += 1;
         self.requeue(InFlightCall { orders: rest, released });
-        Outcome::Short { dropped }
+        CallOutcome::PartlyApplied { rejected }
     }
 
     /// Handles a broken connection or a timeout. `fully_sent`: the last byte of the call may have reached the relay.
-    pub fn lost(&mut self, now: Duration, fully_sent: bool) -> Outcome {
+    pub fn on_connection_lost(&mut self, now: Duration, fully_sent: bool) -> CallOutcome {
         match self.in_flight.take() {
             Some(call) if fully_sent => self.requeue_unknown(now, call),
             Some(call) => {
                 self.requeue(call);
-                Outcome::NotDone { reason: "not sent".to_string() }
+                CallOutcome::NotApplied { reason: "not sent".to_string() }
             }
-            None => Outcome::Done,
+            None => CallOutcome::Applied,
         }
     }
 
-    fn requeue_unknown(&mut self, now: Duration, mut call: InFlightCall) -> Outcome {
-        self.unknown += 1;
+    fn requeue_unknown(&mut self, now: Duration, mut call: InFlightCall) -> CallOutcome {
+        self.unknown_outcomes += 1;
         self.unknown_since = now;
         for queued in &mut call.orders {
             queued.maybe_applied = true;
@@ -268,7 +268,7 @@
             }
         }
         self.requeue(call);
-        Outcome::Unknown
+        CallOutcome::Unknown
     }
 
     fn note_accepted(&mut self, ack_seq: u16, now: Duration) {
@@ -291,7 +291,7 @@
     }
 
     /// Drops the orders of a released slice. They must not reach the store once the slice is acquired again.
-    pub fn forget(&mut self, slice: SliceId) {
+    pub fn drop_orders_of(&mut self, slice: SliceId) {
         self.queue.retain(|q| q.order.slice() != Some(slice));
         if let Some(call) = &mut self.in_flight {
             call.released.insert(slice);
@@ -299,16 +299,16 @@
     }
 
     /// The pending work of a slice, as far as it follows from orders for its line.
-    pub fn owed(&self, slice: SliceId) -> Owed {
+    pub fn pending_work(&self, slice: SliceId) -> PendingWork {
         let sets_line =
             |q: &QueuedOrder| matches!(&q.order, RelayOrder::Line { slice: s, .. } if *s == slice);
         if self.in_flight.iter().any(|call| call.orders.iter().any(sets_line)) {
-            return Owed::Call;
+            return PendingWork::CallInFlight;
         }
         if self.queue.iter().any(sets_line) {
-            Owed::Handover
+            PendingWork::Handover
         } else {
-            Owed::Nothing
+            PendingWork::Nothing
         }
     }
 
@@ -320,7 +320,7 @@
     /// The transit time from the assigner's order until its effect at a proxy. A proxy reports `transit`, the time from
     /// the call on. The time before the call, in the queue or in calls that had to be sent again, is added
     /// here; otherwise writes would be assumed to have ended before they have.
-    pub fn since_order(&self, now: Duration, ack_seq: u16, transit: Duration) -> Duration {
+    pub fn transit_since_order(&self, now: Duration, ack_seq: u16, transit: Duration) -> Duration {
         let times = self.ack_times.iter().find(|times| times.ack_seq == ack_seq);
         // A proxy may report any time. The bound keeps sums of it from overflowing.
         let transit = transit.min(MAX_TRANSIT);
--- a/crates/whinhill-platform/src/relay/calls/tests.rs
+++ b/crates/whinhill-platform/src/relay/calls/tests.rs
@@ -12,18 +12,18 @@
     RelayOrder::Line { slice, server: server.to_string(), on }
 }
 
-fn next_call(calls: &mut Calls, now: Duration) -> String {
+fn next_call(calls: &mut CallQueue, now: Duration) -> String {
     calls.next_call(now, &names()).unwrap_or_default()
 }
 
 #[test]
 fn one_call_is_in_flight_and_orders_are_sent_in_sequence() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS, [line(1, "a", true), RelayOrder::Mark(1)]);
     assert_eq!(next_call(&mut calls, MS), "APPLY put,1,a,1;fence,1,1\r\n");
     calls.push(MS * 2, [line(2, "b", true)]);
     assert_eq!(next_call(&mut calls, MS * 2), "");
-    assert_eq!(calls.answered(MS * 3, b"OK 2"), Outcome::Done);
+    assert_eq!(calls.on_answer(MS * 3, b"OK 2"), CallOutcome::Applied);
     assert_eq!(calls.take_confirmed(), [ConfirmedLine { slice: 1, server: "a".to_string(), on: true }]);
     assert_eq!(next_call(&mut calls, MS * 3), "APPLY put,2,b,1\r\n");
 }
@@ -33,12 +33,12 @@
 #[test]
 fn call_with_unknown_outcome_is_resent_before_later_orders() {
     for on in [true, false] {
-        let mut calls = Calls::default();
+        let mut calls = CallQueue::default();
         calls.push(MS, [line(1, "a", on)]);
         let first = next_call(&mut calls, MS);
         calls.push(MS * 2, [RelayOrder::Mark(7)]);
-        assert_eq!(calls.lost(MS * 300, true), Outcome::Unknown);
-        assert_eq!(calls.unknown, 1);
+        assert_eq!(calls.on_connection_lost(MS * 300, true), CallOutcome::Unknown);
+        assert_eq!(calls.unknown_outcomes, 1);
         let again = next_call(&mut calls, MS * 300);
         assert_eq!(again, format!("{};fence,7,1\r\n", first.trim_end()));
     }
@@ -47,24 +47,24 @@
 /// A slice is released and acquired again while the outcome of a call is unknown: the old owner must not be set again.
 #[test]
 fn orders_of_released_slice_are_not_resent() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS, [line(1, "a", true), line(2, "b", true)]);
     next_call(&mut calls, MS);
     calls.push(MS, [line(1, "c", false)]);
-    calls.forget(1);
-    assert_eq!(calls.lost(MS * 2, true), Outcome::Unknown);
+    calls.drop_orders_of(1);
+    assert_eq!(calls.on_connection_lost(MS * 2, true), CallOutcome::Unknown);
     assert_eq!(next_call(&mut calls, MS * 2), "APPLY put,2,b,1\r\n");
 }
 
 #[test]
 fn partly_applied_call_drops_the_rejected_order() {
     for applied in [0, 1] {
-        let mut calls = Calls::default();
+        let mut calls = CallQueue::default();
         calls.push(MS, [line(0, "a", true), line(1, "b", true), line(2, "c", true)]);
         next_call(&mut calls, MS);
-        let outcome = calls.answered(MS * 2, format!("OK {applied}").as_bytes());
+        let outcome = calls.on_answer(MS * 2, format!("OK {applied}").as_bytes());
         let rejected = ["a", "b"][applied];
-        assert_eq!(outcome, Outcome::Short { dropped: line(applied, rejected, true) });
+        assert_eq!(outcome, CallOutcome::PartlyApplied { rejected: line(applied, rejected, true) });
         assert_eq!(calls.take_confirmed().len(), applied);
         let rest = ["APPLY put,1,b,1;put,2,c,1\r\n", "APPLY put,2,c,1\r\n"][applied];
         assert_eq!(next_call(&mut calls, MS * 2), rest);
@@ -74,26 +74,26 @@
 #[test]
 fn malformed_answer_leaves_the_outcome_unknown() {
     for answer in [b"OK".as_slice(), b"OK 9", b"OK -1", b"\xff\xfe", b""] {
-        let mut calls = Calls::default();
+        let mut calls = CallQueue::default();
         calls.push(MS, [line(1, "a", true)]);
         next_call(&mut calls, MS);
-        assert_eq!(calls.answered(MS * 2, answer), Outcome::Unknown);
+        assert_eq!(calls.on_answer(MS * 2, answer), CallOutcome::Unknown);
     }
 }
 
 #[test]
 fn refused_call_is_resent_after_a_delay() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS, [line(1, "a", true)]);
     next_call(&mut calls, MS);
-    assert!(matches!(calls.answered(MS, b"ERR throttled"), Outcome::NotDone { .. }));
-    assert_eq!((next_call(&mut calls, MS * 50), calls.due_at()), (String::new(), Some(MS * 101)));
+    assert!(matches!(calls.on_answer(MS, b"ERR throttled"), CallOutcome::NotApplied { .. }));
+    assert_eq!((next_call(&mut calls, MS * 50), calls.next_call_at()), (String::new(), Some(MS * 101)));
     assert_eq!(next_call(&mut calls, MS * 101), "APPLY put,1,a,1\r\n");
 }
 
 #[test]
 fn later_orders_replace_queued_ones_so_the_queue_is_bounded() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     let level = |share| RelayOrder::Level { slice: 1, methods: 1, share, tries: 0 };
     for ack_seq in 0..100 {
         calls.push(
@@ -107,7 +107,7 @@
 /// Another server's line must be replaced before this one is removed, so both orders stay.
 #[test]
 fn setting_and_removing_a_line_keeps_both_orders() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS, [line(1, "b", true)]);
     calls.push(MS, [line(1, "b", false)]);
     assert_eq!(next_call(&mut calls, MS), "APPLY put,1,b,1;put,1,b,0\r\n");
@@ -115,7 +115,7 @@
 
 #[test]
 fn long_reply_is_split_into_calls_in_order() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     let name = "s".repeat(60);
     calls.push(MS, (0..2000).map(|slice| line(slice, &name, true)));
     calls.push(MS, [RelayOrder::Mark(1)]);
@@ -125,7 +125,7 @@
         assert!(text.len() <= MAX_CALL_BYTES + 2);
         let orders = text.trim_end().split(';').count();
         seen += orders;
-        assert_eq!(calls.answered(MS, format!("OK {orders}").as_bytes()), Outcome::Done);
+        assert_eq!(calls.on_answer(MS, format!("OK {orders}").as_bytes()), CallOutcome::Applied);
     }
     assert_eq!(seen, 2001);
 }
@@ -134,22 +134,22 @@
 /// queue, or writes would be assumed to have ended too early.
 #[test]
 fn transit_counts_from_the_order() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS * 100, [RelayOrder::Mark(1)]);
     next_call(&mut calls, MS * 130);
-    assert_eq!(calls.lost(MS * 430, true), Outcome::Unknown);
+    assert_eq!(calls.on_connection_lost(MS * 430, true), CallOutcome::Unknown);
     next_call(&mut calls, MS * 430);
-    calls.answered(MS * 440, b"OK 1");
-    assert_eq!(calls.since_order(MS * 600, 1, MS * 90), MS * 430);
-    assert!(calls.since_order(MS * 600, 1, Duration::MAX) < MAX_TRANSIT * 2);
-    calls.mark_again(MS * 700);
-    assert!(calls.since_order(MS * 800, 1, MS * 90) >= MS * 800);
+    calls.on_answer(MS * 440, b"OK 1");
+    assert_eq!(calls.transit_since_order(MS * 600, 1, MS * 90), MS * 430);
+    assert!(calls.transit_since_order(MS * 600, 1, Duration::MAX) < MAX_TRANSIT * 2);
+    calls.request_last_ack_again(MS * 700);
+    assert!(calls.transit_since_order(MS * 800, 1, MS * 90) >= MS * 800);
 }
 
 /// Where slices are not exclusive, a grant adds a line: the removal of the former owner's line must not get lost.
 #[test]
 fn removal_of_former_owners_line_survives_the_next_grant() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS, [line(1, "a", false), line(1, "b", true)]);
     calls.push(MS, [line(1, "c", true), line(1, "b", false)]);
     assert_eq!(next_call(&mut calls, MS), "APPLY put,1,a,0;put,1,c,1;put,1,b,0\r\n");
@@ -157,18 +157,18 @@
 
 #[test]
 fn orders_with_unknown_outcome_are_counted_until_resent() {
-    let mut calls = Calls::default();
+    let mut calls = CallQueue::default();
     calls.push(MS, [line(1, "a", true), line(2, "b", true)]);
     next_call(&mut calls, MS);
     calls.push(MS * 2, [line(3, "c", true)]);
-    assert_eq!(calls.in_doubt(), None);
-    calls.lost(MS * 9, true);
-    assert_eq!(calls.in_doubt(), Some((2, MS * 9)));
-    calls.forget(1);
-    assert_eq!(calls.in_doubt(), Some((1, MS * 9)));
+    assert_eq!(calls.possibly_applied(), None);
+    calls.on_connection_lost(MS * 9, true);
+    assert_eq!(calls.possibly_applied(), Some((2, MS * 9)));
+    calls.drop_orders_of(1);
+    assert_eq!(calls.possibly_applied(), Some((1, MS * 9)));
     // The call was not sent: orders that may have been applied before still may have been.
     next_call(&mut calls, MS * 20);
-    assert_eq!(calls.in_doubt(), None);
-    calls.lost(MS * 21, false);
-    assert_eq!(calls.in_doubt(), Some((1, MS * 9)));
+    assert_eq!(calls.possibly_applied(), None);
+    calls.on_connection_lost(MS * 21, false);
+    assert_eq!(calls.possibly_applied(), Some((1, MS * 9)));
 }
--- a/crates/whinhill-platform/src/relay/orders.rs
+++ b/crates/whinhill-platform/src/relay/orders.rs
@@ -34,7 +34,7 @@
 
 impl RelayOrder {
     /// Translates an order; `None` if the relay has no part in it or the server has no name.
-    pub fn of(order: &Order, names: &Names) -> Option<Self> {
+    pub fn from_order(order: &Order, names: &Names) -> Option<Self> {
         let line = |slice: SliceId, index: usize, on| {
             names.server(index).map(|name| RelayOrder::Line { slice, server: name.to_string(), on })
         };
--- a/crates/whinhill-platform/src/relay/orders/tests.rs
+++ b/crates/whinhill-platform/src/relay/orders/tests.rs
@@ -18,7 +18,7 @@
         (Order::WatchList, None),
     ] {
         let mut out = String::new();
-        let relay = RelayOrder::of(&order, &names);
+        let relay = RelayOrder::from_order(&order, &names);
         relay.iter().for_each(|relay| relay.write(&mut out, &names));
         assert_eq!(relay.is_some().then_some(out.as_str()), wanted);
     }
--- a/crates/whinhill-platform/src/relay/news.rs
+++ b/crates/whinhill-platform/src/relay/watch.rs
@@ -12,7 +12,7 @@
 use whinhill_names::Names;
 
 use super::calls::ConfirmedLine;
-use crate::lines::{Lines, TooLong};
+use crate::lines::{LineBuffer, TooLong};
 
 /// The request that starts the watch stream.
 pub const REQUEST: &[u8] = b"WATCH\r\n";
@@ -40,7 +40,7 @@
 
 /// A change that the watch stream reports.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum WatchUpdate {
     /// An event for the assigner.
     Event(Event),
     /// A proxy has acknowledged the orders up to an ack request.
@@ -54,34 +54,34 @@
     },
     /// A slice of ours that another assigner may have held while the stream was broken. It is treated as if it had
     /// been acquired now.
-    Anew {
+    Reacquired {
         /// The slice.
         slice: SliceId,
         /// The store holds another line than the one we knew.
-        differs: bool,
+        line_differs: bool,
     },
     /// The store holds a line besides the owner's. Where slices are not exclusive, an assigner that died between a
     /// grant and the removal of the former line leaves both.
-    Extra {
+    ExtraLine {
         /// The slice.
         slice: SliceId,
         /// The server that the additional line names.
         server: String,
     },
     /// The snapshot is complete.
-    Settled {
+    SnapshotComplete {
         /// The snapshot follows a break in which acks may have been lost.
-        again: bool,
+        after_break: bool,
     },
 }
 
 /// What was still pending for a slice when the watch stream came back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Owed {
+pub enum PendingWork {
     /// Nothing.
     Nothing,
     /// A call that sets the line is in flight and will determine it.
-    Call,
+    CallInFlight,
     /// A handover, or queued orders for the line. An assigner that held the slice in the meantime has undone what they
     /// are based on: the levels were reset, and proxies may be writing again to the owner that had stopped.
     Handover,
@@ -89,7 +89,7 @@
 
 /// Identifies one of two connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum WatchSlot {
     /// The connection whose updates are in force.
     Current,
     /// A connection to a new address that is still receiving its snapshot.
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 struct Stream {
     phase: Phase,
-    lines: Lines,
+    lines: LineBuffer,
     received_at: Duration,
     proxies: BTreeMap<ProxyId, ZoneId>,
     slices: BTreeMap<SliceId, Vec<String>>,
@@ -172,7 +172,7 @@
     fn new(now: Duration) -> Self {
         Stream {
             phase: Phase::Requested,
-            lines: Lines::new(MAX_LINE_BYTES),
+            lines: LineBuffer::new(MAX_LINE_BYTES),
             received_at: now,
             proxies: BTreeMap::new(),
             slices: BTreeMap::new(),
@@ -197,7 +197,7 @@
 
 /// The state reported by the relay, kept across connections.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct RelayWatch {
     current: Option<Stream>,
     next: Option<Stream>,
     /// Some state was received before, at least in part: later snapshots are compared with it.
@@ -210,37 +210,37 @@
     lines_not_ordered: BTreeSet<SliceId>,
 }
 
-impl News {
-    fn stream_mut(&mut self, place: Place) -> &mut Option<Stream> {
-        match place {
-            Place::Current => &mut self.current,
-            Place::Next => &mut self.next,
+impl RelayWatch {
+    fn stream_mut(&mut self, slot: WatchSlot) -> &mut Option<Stream> {
+        match slot {
+            WatchSlot::Current => &mut self.current,
+            WatchSlot::Next => &mut self.next,
         }
     }
 
     /// Handles a new connection. The caller writes [`REQUEST`] to it.
-    pub fn opened(&mut self, place: Place, now: Duration) {
-        *self.stream_mut(place) = Some(Stream::new(now));
+    pub fn on_connected(&mut self, slot: WatchSlot, now: Duration) {
+        *self.stream_mut(slot) = Some(Stream::new(now));
     }
 
     /// Handles the end of a connection.
-    pub fn closed(&mut self, place: Place) {
-        let ended = self.stream_mut(place).take();
+    pub fn on_disconnected(&mut self, slot: WatchSlot) {
+        let ended = self.stream_mut(slot).take();
         // A partial snapshot is state that the next snapshot must be compared with.
-        self.has_baseline |= place == Place::Current && ended.is_some_and(|s| s.phase == Phase::Snapshot);
+        self.has_baseline |= slot == WatchSlot::Current && ended.is_some_and(|s| s.phase == Phase::Snapshot);
     }
 
     /// Whether there is such a connection.
-    pub fn is_open(&self, place: Place) -> bool {
-        match place {
-            Place::Current => self.current.is_some(),
-            Place::Next => self.next.is_some(),
+    pub fn is_open(&self, slot: WatchSlot) -> bool {
+        match slot {
+            WatchSlot::Current => self.current.is_some(),
+            WatchSlot::Next => self.next.is_some(),
         }
     }
 
     /// Whether it is known which slices are ours, so that orders may be sent. After a break this is so once the
     /// snapshot is complete.
-    pub fn live(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         self.current.as_ref().is_some_and(|stream| match stream.phase {
             Phase::Requested => false,
             Phase::Snapshot => !self.has_baseline,
@@ -248,11 +248,11 @@
         })
     }
 
-    /// When to call [`News::passed`] if nothing is received until then.
-    pub fn due_at(&self, place: Place) -> Option<Duration> {
-        let stream = match place {
-            Place::Current => self.current.as_ref()?,
-            Place::Next => self.next.as_ref()?,
+    /// When to call [`RelayWatch::on_timeout`] if nothing is received until then.
+    pub fn timeout_at(&self, slot: WatchSlot) -> Option<Duration> {
+        let stream = match slot {
+            WatchSlot::Current => self.current.as_ref()?,
+            WatchSlot::Next => self.next.as_ref()?,
         };
         let timeout =
             if stream.phase == Phase::Snapshot { SNAPSHOT_IDLE_DURATION } else { HEARTBEAT_TIMEOUT };
@@ -261,42 +261,42 @@
 
     /// Handles a timeout: completes a snapshot on which nothing was received for a while. Returns false if the
     /// connection is lost.
-    pub fn passed(
+    pub fn on_timeout(
         &mut self,
-        place: Place,
+        slot: WatchSlot,
         now: Duration,
         names: &mut Names,
-        pending_work: impl Fn(SliceId) -> Owed,
-        updates: &mut Vec<Told>,
+        pending_work: impl Fn(SliceId) -> PendingWork,
+        updates: &mut Vec<WatchUpdate>,
     ) -> bool {
-        let Some(stream) = self.stream_mut(place).take() else { return true };
+        let Some(stream) = self.stream_mut(slot).take() else { return true };
         let alive = now < stream.received_at + HEARTBEAT_TIMEOUT;
         if stream.phase == Phase::Snapshot && now >= stream.received_at + SNAPSHOT_IDLE_DURATION {
-            self.complete_snapshot(place, stream, names, pending_work, updates);
+            self.complete_snapshot(slot, stream, names, pending_work, updates);
         } else {
-            *self.stream_mut(place) = Some(stream);
+            *self.stream_mut(slot) = Some(stream);
         }
         alive
     }
 
     /// Number of joined proxies.
-    pub fn proxies(&self) -> usize {
+    pub fn proxy_count(&self) -> usize {
         self.proxies.len()
     }
 
     /// Number of slices in our custody.
-    pub fn slices(&self) -> usize {
+    pub fn slice_count(&self) -> usize {
         self.slices.len()
     }
 
     /// Notes that a line of the slice was ordered: from now on the store may hold a line that we set.
-    pub fn line_ordered(&mut self, slice: SliceId) {
+    pub fn note_line_ordered(&mut self, slice: SliceId) {
         self.lines_not_ordered.remove(&slice);
     }
 
     /// Notes a line that a call of ours has set or removed. A snapshot that is being received may still contain the
     /// line that it replaced.
-    pub fn confirmed(&mut self, set: ConfirmedLine) {
+    pub fn note_line_confirmed(&mut self, set: ConfirmedLine) {
         let Some(known) = self.slices.get_mut(&set.slice) else { return };
         let line = match (set.on, &*known) {
             (true, _) => Some(set.server),
@@ -310,18 +310,18 @@
     }
 
     /// Handles received bytes. `pending_work` returns what is pending for a slice. Changes are appended to `updates`.
-    pub fn take(
+    pub fn receive(
         &mut self,
-        place: Place,
+        slot: WatchSlot,
         now: Duration,
         bytes: &[u8],
         names: &mut Names,
-        pending_work: impl Fn(SliceId) -> Owed,
-        updates: &mut Vec<Told>,
+        pending_work: impl Fn(SliceId) -> PendingWork,
+        updates: &mut Vec<WatchUpdate>,
     ) -> Result<(), WatchError> {
-        let (mut place, Some(mut stream)) = (place, self.stream_mut(place).take()) else { return Ok(()) };
+        let (mut slot, Some(mut stream)) = (slot, self.stream_mut(slot).take()) else { return Ok(()) };
         stream.received_at = now;
-        let mut lines = std::mem::replace(&mut stream.lines, Lines::new(MAX_LINE_BYTES));
+        let mut lines = std::mem::replace(&mut stream.lines, LineBuffer::new(MAX_LINE_BYTES));
         lines.push(bytes);
         loop {
             let message = match lines.next_line().map_err(WatchError::from) {
@@ -336,20 +336,20 @@
                     continue;
                 }
                 Err(error) => {
-                    *self.stream_mut(place) = Some(stream);
+                    *self.stream_mut(slot) = Some(stream);
                     return Err(error);
                 }
             };
             match message {
                 Message::Heartbeat if stream.phase == Phase::Snapshot => {
-                    self.complete_snapshot(place, stream, names, &pending_work, updates);
-                    place = Place::Current;
+                    self.complete_snapshot(slot, stream, names, &pending_work, updates);
+                    slot = WatchSlot::Current;
                     let Some(completed) = self.current.take() else { return Ok(()) };
                     stream = completed;
                 }
                 // An ack counts on either connection, and a duplicate does no harm.
                 Message::Ack(proxy, ack_seq, transit) if self.proxies.contains_key(&proxy) => {
-                    updates.push(Told::Acked { proxy, ack_seq, transit });
+                    updates.push(WatchUpdate::Acked { proxy, ack_seq, transit });
                 }
                 message if stream.phase == Phase::Live || !self.has_baseline => {
                     self.apply(message, names, updates)
@@ -358,44 +358,44 @@
             }
         }
         stream.lines = lines;
-        *self.stream_mut(place) = Some(stream);
+        *self.stream_mut(slot) = Some(stream);
         Ok(())
     }
 
     /// Applies a change to the known state, and reports it.
-    fn apply(&mut self, message: Message, names: &mut Names, updates: &mut Vec<Told>) {
+    fn apply(&mut self, message: Message, names: &mut Names, updates: &mut Vec<WatchUpdate>) {
         match message {
             Message::Hello(proxy, zone) => {
                 self.proxies.insert(proxy, zone);
-                updates.push(Told::Event(Event::ProxyJoined { proxy, zone }));
+                updates.push(WatchUpdate::Event(Event::ProxyJoined { proxy, zone }));
             }
             Message::Bye(proxy) => {
                 if self.proxies.remove(&proxy).is_some() {
-                    updates.push(Told::Event(Event::ProxyLeft { proxy }));
+                    updates.push(WatchUpdate::Event(Event::ProxyLeft { proxy }));
                 }
             }
             Message::Lease(slice, true) => {
                 self.slices.insert(slice, None);
                 self.lines_not_ordered.insert(slice);
-                updates.push(Told::Event(Event::SliceAcquired { slice }));
+                updates.push(WatchUpdate::Event(Event::SliceAcquired { slice }));
             }
             Message::Lease(slice, false) => {
                 self.lines_not_ordered.remove(&slice);
                 if self.slices.remove(&slice).is_some() {
-                    updates.push(Told::Event(Event::SliceReleased { slice }));
+                    updates.push(WatchUpdate::Event(Event::SliceReleased { slice }));
                 }
             }
             Message::Line(slice, server) if self.lines_not_ordered.contains(&slice) => {
                 match self.slices.get_mut(&slice) {
                     Some(known @ None) => {
                         *known = Some(server.to_string());
-                        updates.push(Told::Event(Event::StoredOwner {
+                        updates.push(WatchUpdate::Event(Event::StoredOwner {
                             slice,
                             endpoint: names.endpoint(server),
                         }));
                     }
                     Some(Some(known)) if known != server => {
-                        updates.push(Told::Extra { slice, server: server.to_string() });
+                        updates.push(WatchUpdate::ExtraLine { slice, server: server.to_string() });
                     }
                     _ => {}
                 }
@@ -408,14 +408,14 @@
     /// one.
     fn complete_snapshot(
         &mut self,
-        place: Place,
+        slot: WatchSlot,
         mut stream: Stream,
         names: &mut Names,
-        pending_work: impl Fn(SliceId) -> Owed,
-        updates: &mut Vec<Told>,
+        pending_work: impl Fn(SliceId) -> PendingWork,
+        updates: &mut Vec<WatchUpdate>,
     ) {
         // If the former connection has reported everything until now, nobody else held a slice of ours.
-        let unbroken = place == Place::Next && self.live();
+        let unbroken = slot == WatchSlot::Next && self.is_live();
         let after_break = std::mem::replace(&mut self.has_baseline, true);
         let (proxies, slices) = (std::mem::take(&mut stream.proxies), std::mem::take(&mut stream.slices));
         let replaced = std::mem::take(&mut stream.replaced);
@@ -434,33 +434,33 @@
                 };
                 let is_stored = |line: &Option<String>| line.as_slice() == stored;
                 let was_replaced = replaced.get(&slice).is_some_and(|lines| lines.iter().any(is_stored));
-                let (differs, pending) = (!is_stored(known) && !was_replaced, pending_work(slice));
-                let undisturbed = pending == Owed::Nothing || unbroken;
-                if pending == Owed::Call || !differs && undisturbed {
+                let (line_differs, pending) = (!is_stored(known) && !was_replaced, pending_work(slice));
+                let undisturbed = pending == PendingWork::Nothing || unbroken;
+                if pending == PendingWork::CallInFlight || !line_differs && undisturbed {
                     continue;
                 }
-                updates.push(Told::Anew { slice, differs });
-                if differs {
+                updates.push(WatchUpdate::Reacquired { slice, line_differs });
+                if line_differs {
                     // Of several lines the one that we knew is kept, or else the first.
                     let kept = stored.iter().find(|line| known.as_ref() == Some(*line));
                     let kept = kept.or(stored.first()).cloned();
                     let extra = stored.into_iter().filter(|line| Some(line) != kept.as_ref());
-                    updates.extend(extra.map(|server| Told::Extra { slice, server }));
+                    updates.extend(extra.map(|server| WatchUpdate::ExtraLine { slice, server }));
                     *known = kept;
                 }
             }
         }
-        updates.push(Told::Settled { again: after_break });
+        updates.push(WatchUpdate::SnapshotComplete { after_break });
     }
 
     /// Reports the proxies that joined or left during a break. A proxy in both states has kept its stream, or its ack
     /// is requested again.
-    fn reconcile_proxies(&mut self, joined: BTreeMap<ProxyId, ZoneId>, updates: &mut Vec<Told>) {
+    fn reconcile_proxies(&mut self, joined: BTreeMap<ProxyId, ZoneId>, updates: &mut Vec<WatchUpdate>) {
         for (proxy, zone) in joined.iter().filter(|(proxy, _)| !self.proxies.contains_key(proxy)) {
-            updates.push(Told::Event(Event::ProxyJoined { proxy: *proxy, zone: *zone }));
+            updates.push(WatchUpdate::Event(Event::ProxyJoined { proxy: *proxy, zone: *zone }));
         }
         for proxy in self.proxies.keys().filter(|proxy| !joined.contains_key(proxy)) {
-            updates.push(Told::Event(Event::ProxyLeft { proxy: *proxy }));
+            updates.push(WatchUpdate::Event(Event::ProxyLeft { proxy: *proxy }));
         }
         self.proxies = joined;
     }
--- a/crates/whinhill-platform/src/relay/news/tests.rs
+++ b/crates/whinhill-platform/src/relay/watch/tests.rs
@@ -10,31 +10,31 @@
 
 /// Feeds text to the watch stream.
 struct Reader {
-    state: News,
+    state: RelayWatch,
     names: Names,
 }
 
 impl Reader {
     fn new() -> Self {
-        Reader { state: News::default(), names: names() }
+        Reader { state: RelayWatch::default(), names: names() }
     }
 
     /// Opens a connection that receives `text` as its snapshot, in pieces of `piece` bytes.
-    fn connect(&mut self, text: &str, piece: usize) -> Vec<Told> {
-        self.state.opened(Place::Current, MS);
+    fn connect(&mut self, text: &str, piece: usize) -> Vec<WatchUpdate> {
+        self.state.on_connected(WatchSlot::Current, MS);
         self.receive(&format!("OK\r\n{text}*\r\n"), piece)
     }
 
-    fn receive(&mut self, text: &str, piece: usize) -> Vec<Told> {
+    fn receive(&mut self, text: &str, piece: usize) -> Vec<WatchUpdate> {
         let mut updates = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
             self.state
-                .take(
-                    Place::Current,
+                .receive(
+                    WatchSlot::Current,
                     MS,
                     bytes,
                     &mut self.names,
-                    |slice| if slice == 9 { Owed::Call } else { Owed::Nothing },
+                    |slice| if slice == 9 { PendingWork::CallInFlight } else { PendingWork::Nothing },
                     &mut updates,
                 )
                 .unwrap();
@@ -56,12 +56,12 @@
         let mut reader = Reader::new();
         let updates = reader.connect(SNAPSHOT, piece);
         let wanted = [
-            Told::Event(Event::ProxyJoined { proxy: 17, zone: 0 }),
-            Told::Event(Event::ProxyJoined { proxy: 18, zone: 0 }),
-            Told::Event(Event::SliceAcquired { slice: 88 }),
-            Told::Event(Event::StoredOwner { slice: 88, endpoint: reader.endpoint("s-1") }),
-            Told::Event(Event::SliceAcquired { slice: 9 }),
-            Told::Settled { again: false },
+            WatchUpdate::Event(Event::ProxyJoined { proxy: 17, zone: 0 }),
+            WatchUpdate::Event(Event::ProxyJoined { proxy: 18, zone: 0 }),
+            WatchUpdate::Event(Event::SliceAcquired { slice: 88 }),
+            WatchUpdate::Event(Event::StoredOwner { slice: 88, endpoint: reader.endpoint("s-1") }),
+            WatchUpdate::Event(Event::SliceAcquired { slice: 9 }),
+            WatchUpdate::SnapshotComplete { after_break: false },
         ];
         assert_eq!(updates, wanted, "in pieces of {piece}");
     }
@@ -71,7 +71,7 @@
 fn same_snapshot_after_a_break_causes_no_events() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    assert_eq!(reader.connect(SNAPSHOT, 3), [Told::Settled { again: true }]);
+    assert_eq!(reader.connect(SNAPSHOT, 3), [WatchUpdate::SnapshotComplete { after_break: true }]);
 }
 
 /// During the break a proxy left, slices were released and acquired, and another assigner set a line.
@@ -82,13 +82,13 @@
     let snapshot = "* hello 17 a 21.5 1\r\n* hello 19 a 1 1\r\n* lease 88 1\r\n* line 88 s-2 1.0\r\n* lease 5 1\r\n* line 5 s-2 1.0\r\n";
     let updates = reader.connect(snapshot, 5);
     let wanted = [
-        Told::Event(Event::ProxyJoined { proxy: 19, zone: 0 }),
-        Told::Event(Event::ProxyLeft { proxy: 18 }),
-        Told::Event(Event::SliceReleased { slice: 9 }),
-        Told::Event(Event::SliceAcquired { slice: 5 }),
-        Told::Event(Event::StoredOwner { slice: 5, endpoint: reader.endpoint("s-2") }),
-        Told::Anew { slice: 88, differs: true },
-        Told::Settled { again: true },
+        WatchUpdate::Event(Event::ProxyJoined { proxy: 19, zone: 0 }),
+        WatchUpdate::Event(Event::ProxyLeft { proxy: 18 }),
+        WatchUpdate::Event(Event::SliceReleased { slice: 9 }),
+        WatchUpdate::Event(Event::SliceAcquired { slice: 5 }),
+        WatchUpdate::Event(Event::StoredOwner { slice: 5, endpoint: reader.endpoint("s-2") }),
+        WatchUpdate::Reacquired { slice: 88, line_differs: true },
+        WatchUpdate::SnapshotComplete { after_break: true },
     ];
     assert_eq!(updates, wanted);
     assert_eq!(reader.state.line_of(88), Some("s-2"));
@@ -100,7 +100,7 @@
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
     let updates = reader.connect(&format!("{SNAPSHOT}* line 9 s-3 1.0\r\n"), 1000);
-    assert_eq!(updates, [Told::Settled { again: true }]);
+    assert_eq!(updates, [WatchUpdate::SnapshotComplete { after_break: true }]);
 }
 
 #[test]
@@ -112,10 +112,10 @@
         4,
     );
     let wanted = [
-        Told::Acked { proxy: 17, ack_seq: 905, transit: Duration::from_micros(310_400) },
-        Told::Event(Event::ProxyLeft { proxy: 17 }),
-        Told::Event(Event::ProxyJoined { proxy: 17, zone: 0 }),
-        Told::Event(Event::SliceReleased { slice: 9 }),
+        WatchUpdate::Acked { proxy: 17, ack_seq: 905, transit: Duration::from_micros(310_400) },
+        WatchUpdate::Event(Event::ProxyLeft { proxy: 17 }),
+        WatchUpdate::Event(Event::ProxyJoined { proxy: 17, zone: 0 }),
+        WatchUpdate::Event(Event::SliceReleased { slice: 9 }),
     ];
     assert_eq!(updates, wanted);
 }
@@ -123,30 +123,30 @@
 #[test]
 fn missing_heartbeats_are_a_loss_and_a_pause_completes_the_snapshot() {
     let mut reader = Reader::new();
-    reader.state.opened(Place::Current, MS);
+    reader.state.on_connected(WatchSlot::Current, MS);
     let updates = reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000);
     assert_eq!(updates.len(), 5);
     let mut updates = Vec::new();
-    assert!(reader.state.passed(
-        Place::Current,
+    assert!(reader.state.on_timeout(
+        WatchSlot::Current,
         MS + SNAPSHOT_IDLE_DURATION,
         &mut reader.names,
-        |_| Owed::Nothing,
+        |_| PendingWork::Nothing,
         &mut updates
     ));
-    assert_eq!(updates, [Told::Settled { again: false }]);
-    assert!(reader.state.passed(
-        Place::Current,
+    assert_eq!(updates, [WatchUpdate::SnapshotComplete { after_break: false }]);
+    assert!(reader.state.on_timeout(
+        WatchSlot::Current,
         HEARTBEAT_TIMEOUT,
         &mut reader.names,
-        |_| Owed::Nothing,
+        |_| PendingWork::Nothing,
         &mut updates
     ));
-    assert!(!reader.state.passed(
-        Place::Current,
+    assert!(!reader.state.on_timeout(
+        WatchSlot::Current,
         MS + HEARTBEAT_TIMEOUT,
         &mut reader.names,
-        |_| Owed::Nothing,
+        |_| PendingWork::Nothing,
         &mut updates
     ));
 }
@@ -155,11 +155,18 @@
 fn malformed_lines_are_errors() {
     for text in ["ERR invalid\r\n", "OK\r\n* hello x a 1 1\r\n", "OK\r\n* lease 99 1\r\n", "OK\r\n\x01\r\n"] {
         let mut reader = Reader::new();
-        reader.state.opened(Place::Current, MS);
+        reader.state.on_connected(WatchSlot::Current, MS);
         let (state, names) = (&mut reader.state, &mut reader.names);
         assert!(
             state
-                .take(Place::Current, MS, text.as_bytes(), names, |_| Owed::Nothing, &mut Vec::new())
+                .receive(
+                    WatchSlot::Current,
+                    MS,
+                    text.as_bytes(),
+                    names,
+                    |_| PendingWork::Nothing,
+                    &mut Vec::new()
+                )
                 .is_err(),
             "{text}"
         );
@@ -173,18 +180,24 @@
 fn line_replaced_by_our_call_during_the_snapshot_does_not_differ() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.state.opened(Place::Current, MS);
+    reader.state.on_connected(WatchSlot::Current, MS);
     assert_eq!(reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000), []);
     let set = |server: &str, on| ConfirmedLine { slice: 88, server: server.to_string(), on };
-    reader.state.confirmed(set("s-1", false));
-    reader.state.confirmed(set("s-2", true));
-    assert_eq!(reader.receive("*\r\n", 1000), [Told::Settled { again: true }]);
+    reader.state.note_line_confirmed(set("s-1", false));
+    reader.state.note_line_confirmed(set("s-2", true));
+    assert_eq!(reader.receive("*\r\n", 1000), [WatchUpdate::SnapshotComplete { after_break: true }]);
     assert_eq!(reader.state.line_of(88), Some("s-2"));
     // A line that we neither knew nor set is another assigner's.
-    reader.state.opened(Place::Current, MS);
-    reader.state.confirmed(set("s-3", true));
+    reader.state.on_connected(WatchSlot::Current, MS);
+    reader.state.note_line_confirmed(set("s-3", true));
     let updates = reader.receive(&format!("OK\r\n{}*\r\n", SNAPSHOT.replace("s-1", "s-9")), 1000);
-    assert_eq!(updates, [Told::Anew { slice: 88, differs: true }, Told::Settled { again: true }]);
+    assert_eq!(
+        updates,
+        [
+            WatchUpdate::Reacquired { slice: 88, line_differs: true },
+            WatchUpdate::SnapshotComplete { after_break: true }
+        ]
+    );
 }
 
 /// Another assigner may have held the slice during the break. Its levels were reset then, so writes may go on at an owner
@@ -193,22 +206,28 @@
 fn handover_pending_during_a_break_starts_again() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.state.opened(Place::Current, MS);
+    reader.state.on_connected(WatchSlot::Current, MS);
     let mut updates = Vec::new();
     let text = format!("OK\r\n{SNAPSHOT}*\r\n");
     let (begin, end) = text.split_at(text.len() - 3);
-    let pending_work = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
+    let pending_work = |slice| if slice == 88 { PendingWork::Handover } else { PendingWork::Nothing };
     reader
         .state
-        .take(Place::Current, MS, begin.as_bytes(), &mut reader.names, pending_work, &mut updates)
+        .receive(WatchSlot::Current, MS, begin.as_bytes(), &mut reader.names, pending_work, &mut updates)
         .unwrap();
-    assert!(updates.is_empty() && !reader.state.live());
+    assert!(updates.is_empty() && !reader.state.is_live());
     reader
         .state
-        .take(Place::Current, MS, end.as_bytes(), &mut reader.names, pending_work, &mut updates)
+        .receive(WatchSlot::Current, MS, end.as_bytes(), &mut reader.names, pending_work, &mut updates)
         .unwrap();
-    assert_eq!(updates, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
-    assert!(reader.state.live());
+    assert_eq!(
+        updates,
+        [
+            WatchUpdate::Reacquired { slice: 88, line_differs: false },
+            WatchUpdate::SnapshotComplete { after_break: true }
+        ]
+    );
+    assert!(reader.state.is_live());
 }
 
 /// Where slices are not exclusive, a table may have several lines: the owner's is kept, the others are reported.
@@ -216,18 +235,22 @@
 fn lines_besides_the_owners_are_reported() {
     let mut reader = Reader::new();
     let two = format!("{SNAPSHOT}* line 88 s-2 1.0\r\n* line 88 s-3 0.0\r\n");
-    let extra = Told::Extra { slice: 88, server: "s-2".to_string() };
+    let extra = WatchUpdate::ExtraLine { slice: 88, server: "s-2".to_string() };
     assert!(reader.connect(&two, 1000).contains(&extra));
-    let again = [Told::Anew { slice: 88, differs: true }, extra, Told::Settled { again: true }];
+    let again = [
+        WatchUpdate::Reacquired { slice: 88, line_differs: true },
+        extra,
+        WatchUpdate::SnapshotComplete { after_break: true },
+    ];
     assert_eq!(reader.connect(&two, 1000), again);
     assert_eq!(reader.state.line_of(88), Some("s-1"));
     // Removing the former owner's line does not remove the next owner's.
-    reader.state.confirmed(ConfirmedLine { slice: 88, server: "s-2".to_string(), on: true });
-    reader.state.confirmed(ConfirmedLine { slice: 88, server: "s-1".to_string(), on: false });
+    reader.state.note_line_confirmed(ConfirmedLine { slice: 88, server: "s-2".to_string(), on: true });
+    reader.state.note_line_confirmed(ConfirmedLine { slice: 88, server: "s-1".to_string(), on: false });
     assert_eq!(reader.state.line_of(88), Some("s-2"));
     // Once we have ordered a line of the slice, a reported line is taken for ours.
     reader.receive("* lease 5 1\r\n* line 5 s-1 1.0\r\n", 1000);
-    reader.state.line_ordered(5);
+    reader.state.note_line_ordered(5);
     assert_eq!(reader.receive("* line 5 s-2 1.0\r\n", 1000), []);
 }
 
@@ -237,21 +260,28 @@
 fn connection_to_a_new_address_takes_over_without_a_break() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.state.opened(Place::Next, MS);
-    let pending_work = |_| Owed::Handover;
+    reader.state.on_connected(WatchSlot::Next, MS);
+    let pending_work = |_| PendingWork::Handover;
     let mut updates = Vec::new();
     let (state, names) = (&mut reader.state, &mut reader.names);
     state
-        .take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, pending_work, &mut updates)
+        .receive(
+            WatchSlot::Next,
+            MS,
+            format!("OK\r\n{SNAPSHOT}").as_bytes(),
+            names,
+            pending_work,
+            &mut updates,
+        )
         .unwrap();
-    assert!(updates.is_empty() && state.live() && state.is_open(Place::Next));
+    assert!(updates.is_empty() && state.is_live() && state.is_open(WatchSlot::Next));
     // Both connections report changes; an ack may come on either.
     let both = "* bye 18\r\n* hello 20 a 1 0\r\n* lease 9 0\r\n* lease 7 1\r\n* line 7 s-2 1.0\r\n";
-    state.take(Place::Current, MS, both.as_bytes(), names, pending_work, &mut updates).unwrap();
+    state.receive(WatchSlot::Current, MS, both.as_bytes(), names, pending_work, &mut updates).unwrap();
     let before = updates.len();
     state
-        .take(
-            Place::Next,
+        .receive(
+            WatchSlot::Next,
             MS,
             format!("{both}* ack 17 5 1.0\r\n*\r\n").as_bytes(),
             names,
@@ -259,10 +289,13 @@
             &mut updates,
         )
         .unwrap();
-    let wanted = [Told::Acked { proxy: 17, ack_seq: 5, transit: MS }, Told::Settled { again: true }];
+    let wanted = [
+        WatchUpdate::Acked { proxy: 17, ack_seq: 5, transit: MS },
+        WatchUpdate::SnapshotComplete { after_break: true },
+    ];
     assert_eq!((before, &updates[before..]), (5, wanted.as_slice()));
-    assert!(state.live() && !state.is_open(Place::Next));
-    assert_eq!((state.line_of(7), state.line_of(88), state.slices()), (Some("s-2"), Some("s-1"), 2));
+    assert!(state.is_live() && !state.is_open(WatchSlot::Next));
+    assert_eq!((state.line_of(7), state.line_of(88), state.slice_count()), (Some("s-2"), Some("s-1"), 2));
 }
 
 /// The former connection ends before the snapshot of the new one is complete: that is a break like any other.
@@ -270,18 +303,31 @@
 fn former_connection_that_ends_too_early_is_a_break() {
     let mut reader = Reader::new();
     reader.connect(SNAPSHOT, 1000);
-    reader.state.opened(Place::Next, MS);
-    let pending_work = |slice| if slice == 88 { Owed::Handover } else { Owed::Nothing };
+    reader.state.on_connected(WatchSlot::Next, MS);
+    let pending_work = |slice| if slice == 88 { PendingWork::Handover } else { PendingWork::Nothing };
     let mut updates = Vec::new();
     let (state, names) = (&mut reader.state, &mut reader.names);
     state
-        .take(Place::Next, MS, format!("OK\r\n{SNAPSHOT}").as_bytes(), names, pending_work, &mut updates)
+        .receive(
+            WatchSlot::Next,
+            MS,
+            format!("OK\r\n{SNAPSHOT}").as_bytes(),
+            names,
+            pending_work,
+            &mut updates,
+        )
         .unwrap();
-    state.closed(Place::Current);
-    assert!(!state.live());
-    state.take(Place::Next, MS, b"*\r\n", names, pending_work, &mut updates).unwrap();
-    assert_eq!(updates, [Told::Anew { slice: 88, differs: false }, Told::Settled { again: true }]);
-    assert!(state.live());
+    state.on_disconnected(WatchSlot::Current);
+    assert!(!state.is_live());
+    state.receive(WatchSlot::Next, MS, b"*\r\n", names, pending_work, &mut updates).unwrap();
+    assert_eq!(
+        updates,
+        [
+            WatchUpdate::Reacquired { slice: 88, line_differs: false },
+            WatchUpdate::SnapshotComplete { after_break: true }
+        ]
+    );
+    assert!(state.is_live());
 }
 
 /// The first connection is closed, or sends a malformed line, before its snapshot is complete.
@@ -289,18 +335,30 @@
 fn partial_snapshot_is_compared_with_the_next_one() {
     for garbage in [false, true] {
         let mut reader = Reader::new();
-        reader.state.opened(Place::Current, MS);
+        reader.state.on_connected(WatchSlot::Current, MS);
         reader.receive(&format!("OK\r\n{SNAPSHOT}"), 1000);
         if garbage {
             let (state, names) = (&mut reader.state, &mut reader.names);
             assert!(state
-                .take(Place::Current, MS, b"\x01\r\n", names, |_| Owed::Nothing, &mut Vec::new())
+                .receive(
+                    WatchSlot::Current,
+                    MS,
+                    b"\x01\r\n",
+                    names,
+                    |_| PendingWork::Nothing,
+                    &mut Vec::new()
+                )
                 .is_err());
         }
-        reader.state.closed(Place::Current);
+        reader.state.on_disconnected(WatchSlot::Current);
         let updates = reader.connect("* hello 17 a 21.5 1\r\n* lease 88 1\r\n* line 88 s-1 1.0\r\n", 1000);
-        let departures =
-            [Told::Event(Event::ProxyLeft { proxy: 18 }), Told::Event(Event::SliceReleased { slice: 9 })];
-        assert_eq!(updates, [departures.as_slice(), &[Told::Settled { again: true }]].concat());
+        let departures = [
+            WatchUpdate::Event(Event::ProxyLeft { proxy: 18 }),
+            WatchUpdate::Event(Event::SliceReleased { slice: 9 }),
+        ];
+        assert_eq!(
+            updates,
+            [departures.as_slice(), &[WatchUpdate::SnapshotComplete { after_break: true }]].concat()
+        );
     }
 }
--- a/crates/whinhill-platform/src/roster.rs
+++ b/crates/whinhill-platform/src/roster.rs
@@ -28,7 +28,7 @@
     /// The version of the list.
     pub version: u64,
     /// Whether this is the whole list; otherwise it contains the servers that have changed.
-    pub whole: bool,
+    pub is_full: bool,
     /// The servers.
     pub servers: Vec<Server>,
 }
@@ -47,7 +47,7 @@
     /// The size of the server relative to the others; it has no unit.
     pub size: f64,
     /// The last start of the server as Unix time in milliseconds; 0 if it was long ago.
-    pub started_ms: u64,
+    pub started_unix_ms: u64,
 }
 
 /// The list as it is transmitted.
@@ -72,7 +72,7 @@
 
 impl Roster {
     /// Parses the text of a list.
-    pub fn read(text: &[u8]) -> Result<Self, RosterError> {
+    pub fn parse(text: &[u8]) -> Result<Self, RosterError> {
         Self::from_wire(serde_json::from_slice(text)?)
     }
 
@@ -83,7 +83,7 @@
 
     fn from_wire(wire: WireRoster) -> Result<Self, RosterError> {
         let servers = wire.endpoints.into_iter().map(Server::from_wire).collect::<Result<_, _>>()?;
-        Ok(Roster { version: wire.index, whole: wire.snapshot, servers })
+        Ok(Roster { version: wire.index, is_full: wire.snapshot, servers })
     }
 }
 
@@ -110,7 +110,7 @@
             return Err(invalid("start"));
         }
         let addr = wire.address.parse().map_err(|_| invalid("address"))?;
-        Ok(Server { addr, status, size, started_ms: started as u64, name: wire.name, zone: wire.zone })
+        Ok(Server { addr, status, size, started_unix_ms: started as u64, name: wire.name, zone: wire.zone })
     }
 }
 
--- a/crates/whinhill-platform/tests/mangled.rs
+++ b/crates/whinhill-platform/tests/mangled.rs
@@ -8,12 +8,12 @@
 use whinhill::interface::Settings;
 use whinhill_names::Names;
 use whinhill_platform::config;
-use whinhill_platform::discovery::Asking;
+use whinhill_platform::discovery::DiscoveryRequest;
 use whinhill_platform::peer::Peer;
-use whinhill_platform::probe::Probing;
-use whinhill_platform::relay::calls::Calls;
-use whinhill_platform::relay::news::{News, Owed, Place};
+use whinhill_platform::probe::ProbeExchange;
+use whinhill_platform::relay::calls::CallQueue;
 use whinhill_platform::relay::orders::RelayOrder;
+use whinhill_platform::relay::watch::{PendingWork, RelayWatch, WatchSlot};
 use whinhill_platform::roster::Roster;
 
 const PEER: &str = "{\"@type\":\"agent\",\"site\":\"a\"}\n\
@@ -90,7 +90,7 @@
 fn peer_messages_are_the_same_in_pieces() {
     assert_same_in_pieces(PEER, |pieces| {
         let (mut peer, mut messages) = (Peer::default(), Vec::new());
-        let result = pieces.iter().try_for_each(|bytes| peer.take(bytes, &names(), &mut messages));
+        let result = pieces.iter().try_for_each(|bytes| peer.receive(bytes, &names(), &mut messages));
         (messages, result)
     });
 }
@@ -98,10 +98,17 @@
 #[test]
 fn watch_updates_are_the_same_in_pieces() {
     assert_same_in_pieces(WATCH_STREAM, |pieces| {
-        let (mut state, mut names, mut updates) = (News::default(), names(), Vec::new());
-        state.opened(Place::Current, Duration::ZERO);
+        let (mut state, mut names, mut updates) = (RelayWatch::default(), names(), Vec::new());
+        state.on_connected(WatchSlot::Current, Duration::ZERO);
         let result = pieces.iter().try_for_each(|bytes| {
-            state.take(Place::Current, Duration::ZERO, bytes, &mut names, |_| Owed::Nothing, &mut updates)
+            state.receive(
+                WatchSlot::Current,
+                Duration::ZERO,
+                bytes,
+                &mut names,
+                |_| PendingWork::Nothing,
+                &mut updates,
+            )
         });
         (updates, result.map_err(|error| error.to_string()))
     });
@@ -113,13 +120,13 @@
     for piece in [LIST, "\n", LIST].concat().as_bytes().chunks(90) {
         answer.push_str(&format!("{:x}\r\n{}\r\n", piece.len(), String::from_utf8_lossy(piece)));
     }
-    for asking in [Asking::watch as fn() -> Asking, Asking::fetch] {
+    for new_request in [DiscoveryRequest::watch as fn() -> DiscoveryRequest, DiscoveryRequest::fetch] {
         assert_same_in_pieces(&answer, |pieces| {
-            let (mut asking, mut lists) = (asking(), Vec::new());
+            let (mut request, mut lists) = (new_request(), Vec::new());
             let result = pieces.iter().try_for_each(|bytes| {
-                let received = asking.take(bytes);
+                let received = request.receive(bytes);
                 lists.extend(received.lists);
-                received.fault.map_or(Ok(()), |error| Err(error.to_string()))
+                received.error.map_or(Ok(()), |error| Err(error.to_string()))
             });
             (lists, result.is_ok())
         });
@@ -130,8 +137,8 @@
 fn probe_results_are_the_same_in_pieces() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\ncpu_share=0.2,svc_ms=73.3";
     assert_same_in_pieces(answer, |pieces| {
-        let mut probing = Probing::default();
-        pieces.iter().find_map(|bytes| probing.take(bytes)).or_else(|| probing.ended())
+        let mut exchange = ProbeExchange::default();
+        pieces.iter().find_map(|bytes| exchange.receive(bytes)).or_else(|| exchange.on_connection_end())
     });
 }
 
@@ -139,7 +146,7 @@
 fn call_loses_no_orders_after_a_mangled_answer() {
     for seed in seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut calls, names) = (Calls::default(), names());
+        let (mut calls, names) = (CallQueue::default(), names());
         let orders = [
             RelayOrder::Line { slice: 1, server: "s-1".into(), on: true },
             RelayOrder::Level { slice: 1, methods: 1, share: 1.0, tries: 0 },
@@ -148,9 +155,9 @@
         calls.push(Duration::ZERO, orders);
         calls.next_call(Duration::ZERO, &names).unwrap();
         let answer = mangle(&mut rng, "OK 2");
-        let _ = calls.answered(Duration::ZERO, &answer);
-        let done = 3 - calls.waiting() as u64 - calls.dropped;
-        assert!(calls.waiting() <= 3 && done <= 3, "seed {seed}");
+        let _ = calls.on_answer(Duration::ZERO, &answer);
+        let done = 3 - calls.queued_orders() as u64 - calls.dropped_orders;
+        assert!(calls.queued_orders() <= 3 && done <= 3, "seed {seed}");
     }
 }
 
@@ -158,7 +165,7 @@
 fn mangled_config_files_and_lists_do_not_panic() {
     for seed in seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let _ = config::read(&mangle(&mut rng, CONFIG));
-        let _ = Roster::read(&mangle(&mut rng, LIST));
+        let _ = config::parse(&mangle(&mut rng, CONFIG));
+        let _ = Roster::parse(&mangle(&mut rng, LIST));
     }
 }
