--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 use tracing::{error, info, warn};
 use whinhill::interface::{ProxyId, SettingsError, SliceId};
-use whinhill_errors::may_pass_on_disk;
+use whinhill_errors::is_temporary_file_error;
 use whinhill_history::BookError;
 use whinhill_store::{Custody, CustodyConfig, Identity, RespConfig, RespStore, Store};
 use whinhill_tables::PendingGrant;
@@ -76,7 +76,7 @@
 fn retry_writing_operators_addr(path: &Path, addr: SocketAddr, stop: &AtomicBool) {
     let retry = Retry { within: Duration::MAX, stop };
     let write = || write_atomically(path, &addr.to_string());
-    if let Err(error) = retry.until_done("writing the operators' address", may_pass_on_disk, write) {
+    if let Err(error) = retry.until_done("writing the operators' address", is_temporary_file_error, write) {
         warn!(path = %path.display(), %error, "the operators' address could not be written");
     }
 }
--- a/crates/whinhill-assigner/src/name_index.rs
+++ b/crates/whinhill-assigner/src/name_index.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use whinhill::interface::{EndpointId, ProxyId, ZoneId};
-use whinhill_starts::{Reading, Starts};
+use whinhill_starts::{ClockReading, StartTimes};
 use whinhill_tables::ServerName;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -23,7 +23,7 @@
     zones: Vec<String>,
     proxies: Vec<String>,
     proxy_ids: HashMap<String, ProxyId>,
-    starts: Starts,
+    starts: StartTimes,
 }
 
 impl Names {
@@ -90,7 +90,7 @@
 
     /// Notes that the last list of servers is current.
     pub fn mark_list_current(&mut self, now: Duration) {
-        self.starts.list_is_current(now);
+        self.starts.set_list_current(now);
     }
 
     /// When a server started, on the assigner's clock, from the wall-clock time on the list; `None`: long ago.
@@ -101,8 +101,8 @@
         unix_now_ms: u64,
         now: Duration,
     ) -> Option<Duration> {
-        let reading = Reading { now, wall: Duration::from_millis(unix_now_ms) };
-        let started = self.starts.started(reading, server, started_unix_ms?);
+        let reading = ClockReading { monotonic: now, wall: Duration::from_millis(unix_now_ms) };
+        let started = self.starts.start_time(reading, server, started_unix_ms?);
         started.filter(|at| !at.is_zero())
     }
 }
--- a/crates/whinhill-errors/src/lib.rs
+++ b/crates/whinhill-errors/src/lib.rs
@@ -10,7 +10,7 @@
 
 use rustix::io::Errno;
 
-pub use retry::until_had;
+pub use retry::retry_while_temporary;
 
 /// Whether the error carries one of these errno values.
 fn has_errno(error: &io::Error, errnos: &[Errno]) -> bool {
@@ -19,19 +19,19 @@
 
 /// Whether a read or write on a socket failed for lack of memory or buffers (recv(2), send(2)). The connection is
 /// intact, no bytes were transferred, and the same call may succeed a moment later.
-pub fn is_short_of_memory(error: &io::Error) -> bool {
+pub fn is_buffer_shortage(error: &io::Error) -> bool {
     has_errno(error, &[Errno::NOBUFS, Errno::NOMEM])
 }
 
 /// Whether a call that creates a descriptor or a watch failed because descriptors, memory, buffers or watches are
 /// exhausted (accept(2), socket(2), epoll_create(2), epoll_ctl(2)).
-pub fn is_scarce(error: &io::Error) -> bool {
-    is_short_of_memory(error) || has_errno(error, &[Errno::MFILE, Errno::NFILE, Errno::NOSPC])
+pub fn is_resource_shortage(error: &io::Error) -> bool {
+    is_buffer_shortage(error) || has_errno(error, &[Errno::MFILE, Errno::NFILE, Errno::NOSPC])
 }
 
 /// Whether an accept failed because of an error of the one connection that it would have accepted (accept(2)): the
 /// listener works, and the next connection can be accepted at once.
-pub fn is_of_one_connection(error: &io::Error) -> bool {
+pub fn is_connection_accept_error(error: &io::Error) -> bool {
     // Errors pending on the new socket, which accept passes on.
     const PENDING_ON_SOCKET: [Errno; 8] = [
         Errno::NETDOWN,
@@ -50,16 +50,18 @@
 
 /// Whether a connect failed on this machine before it reached a peer (socket(2), connect(2)): no free port, no route,
 /// no link, exhausted resources, or a local rule that forbids it.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_connect_error(error: &io::Error) -> bool {
     const NO_LOCAL_ADDRESS_OR_ROUTE: [Errno; 5] =
         [Errno::ADDRNOTAVAIL, Errno::ADDRINUSE, Errno::NETUNREACH, Errno::NETDOWN, Errno::AFNOSUPPORT];
     const NOT_ATTEMPTED: [Errno; 4] = [Errno::AGAIN, Errno::INTR, Errno::PERM, Errno::ACCESS];
-    is_scarce(error) || has_errno(error, &NO_LOCAL_ADDRESS_OR_ROUTE) || has_errno(error, &NOT_ATTEMPTED)
+    is_resource_shortage(error)
+        || has_errno(error, &NO_LOCAL_ADDRESS_OR_ROUTE)
+        || has_errno(error, &NOT_ATTEMPTED)
 }
 
 /// Whether a failed call on a file may succeed later without a change of path or permissions: the disk is full or
 /// failing, and neither the path nor the permissions are wrong.
-pub fn may_pass_on_disk(error: &io::Error) -> bool {
+pub fn is_temporary_file_error(error: &io::Error) -> bool {
     use ErrorKind::{InvalidFilename, InvalidInput, IsADirectory, NotADirectory, NotFound, PermissionDenied};
     let is_permanent = matches!(
         error.kind(),
--- a/crates/whinhill-errors/src/retry.rs
+++ b/crates/whinhill-errors/src/retry.rs
@@ -10,7 +10,7 @@
 
 /// Repeats a call while it fails with an error that `is_temporary` accepts and less than `max_duration` has passed, and
 /// returns its last result.
-pub fn until_had<T>(
+pub fn retry_while_temporary<T>(
     max_duration: Duration,
     is_temporary: impl Fn(&io::Error) -> bool,
     mut call: impl FnMut() -> io::Result<T>,
--- a/crates/whinhill-history/src/lib.rs
+++ b/crates/whinhill-history/src/lib.rs
@@ -29,7 +29,7 @@
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use whinhill_errors::may_pass_on_disk;
+use whinhill_errors::is_temporary_file_error;
 use whinhill_tables::rollback::Rollback;
 use whinhill_tables::{Held, History, Limits, Page, RestoreError, SliceTable, TableSet};
 
@@ -74,7 +74,7 @@
         let BookError::Storage(error) = self else { return false };
         match &**error {
             redb::Error::Io(error) => {
-                may_pass_on_disk(error) && !matches!(error.kind(), InvalidData | UnexpectedEof)
+                is_temporary_file_error(error) && !matches!(error.kind(), InvalidData | UnexpectedEof)
             }
             redb::Error::PreviousIo => true,
             _ => false,
--- a/crates/whinhill-names/src/lib.rs
+++ b/crates/whinhill-names/src/lib.rs
@@ -7,9 +7,9 @@
 //! use whinhill_names::Names;
 //! let settings = Settings([("zones".into(), "a,b".into())].into());
 //! let mut names = Names::new(&settings);
-//! assert_eq!(names.known_zone("b"), Some(1));
+//! assert_eq!(names.known_zone_id("b"), Some(1));
 //! let endpoint = names.endpoint("s-1");
-//! assert_eq!((names.known("s-1"), names.server(endpoint.index)), (Some(endpoint), Some("s-1")));
+//! assert_eq!((names.known_endpoint("s-1"), names.server_name(endpoint.index)), (Some(endpoint), Some("s-1")));
 //! ```
 
 use std::collections::HashMap;
@@ -25,14 +25,14 @@
 #[derive(Debug, Default)]
 pub struct Names {
     /// Server names by index; an empty name marks a free index.
-    servers: Vec<String>,
+    server_names: Vec<String>,
     index_by_name: HashMap<String, usize>,
     /// Indices of removed servers, to be reused.
     free_indices: Vec<usize>,
     zones: Vec<String>,
     methods: Vec<String>,
-    slices: usize,
-    report: Vec<String>,
+    slice_count: usize,
+    report_fields: Vec<String>,
 }
 
 impl Names {
@@ -46,13 +46,13 @@
             .map(|k: usize| text(&format!("classes.{k}.name")).to_string())
             .collect();
         Names {
-            servers: Vec::new(),
+            server_names: Vec::new(),
             index_by_name: HashMap::new(),
             free_indices: Vec::new(),
             zones: list("zones"),
             methods,
-            slices: settings.get("familyInfo.shards").unwrap_or(0),
-            report: list("report.fields"),
+            slice_count: settings.get("familyInfo.shards").unwrap_or(0),
+            report_fields: list("report.fields"),
         }
     }
 
@@ -61,9 +61,9 @@
         let index = match self.index_by_name.get(name) {
             Some(&index) => index,
             None => {
-                let index = self.free_indices.pop().unwrap_or(self.servers.len());
-                self.servers.resize(self.servers.len().max(index + 1), String::new());
-                self.servers[index] = name.to_string();
+                let index = self.free_indices.pop().unwrap_or(self.server_names.len());
+                self.server_names.resize(self.server_names.len().max(index + 1), String::new());
+                self.server_names[index] = name.to_string();
                 self.index_by_name.insert(name.to_string(), index);
                 index
             }
@@ -72,31 +72,31 @@
     }
 
     /// The endpoint of a server that has an index.
-    pub fn known(&self, name: &str) -> Option<EndpointId> {
+    pub fn known_endpoint(&self, name: &str) -> Option<EndpointId> {
         self.index_by_name.get(name).map(|&index| EndpointId { index, stable_id: fnv1a(name) })
     }
 
     /// The name of the server with this index.
-    pub fn server(&self, index: usize) -> Option<&str> {
-        self.servers.get(index).map(String::as_str).filter(|name| !name.is_empty())
+    pub fn server_name(&self, index: usize) -> Option<&str> {
+        self.server_names.get(index).map(String::as_str).filter(|name| !name.is_empty())
     }
 
     /// Removes a server's name and frees its index for the next new server.
-    pub fn let_go(&mut self, index: usize) {
-        let name = self.servers.get_mut(index).map(std::mem::take).unwrap_or_default();
+    pub fn release_server(&mut self, index: usize) {
+        let name = self.server_names.get_mut(index).map(std::mem::take).unwrap_or_default();
         if self.index_by_name.remove(&name).is_some() {
             self.free_indices.push(index);
         }
     }
 
     /// The indices of the servers that have a name.
-    pub fn servers(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.servers.len()).filter(|index| !self.servers[*index].is_empty())
+    pub fn server_indices(&self) -> impl Iterator<Item = usize> + '_ {
+        (0..self.server_names.len()).filter(|index| !self.server_names[*index].is_empty())
     }
 
     /// The index of a zone; adds a name that is not known, up to `MAX_ZONES`.
-    pub fn zone(&mut self, name: &str) -> ZoneId {
-        self.known_zone(name).unwrap_or_else(|| {
+    pub fn zone_id(&mut self, name: &str) -> ZoneId {
+        self.known_zone_id(name).unwrap_or_else(|| {
             if self.zones.len() < MAX_ZONES {
                 self.zones.push(name.to_string());
             }
@@ -105,12 +105,12 @@
     }
 
     /// The index of a zone that is known.
-    pub fn known_zone(&self, name: &str) -> Option<ZoneId> {
+    pub fn known_zone_id(&self, name: &str) -> Option<ZoneId> {
         self.zones.iter().position(|zone| zone == name)
     }
 
     /// The index of a method of the settings.
-    pub fn method(&self, name: &str) -> Option<MethodId> {
+    pub fn method_id(&self, name: &str) -> Option<MethodId> {
         self.methods.iter().position(|method| method == name)
     }
 
@@ -120,28 +120,28 @@
     }
 
     /// The number of methods.
-    pub fn methods(&self) -> usize {
+    pub fn method_count(&self) -> usize {
         self.methods.len()
     }
 
     /// The slice with this number, if it is within the number of slices.
-    pub fn slice(&self, number: usize) -> Option<SliceId> {
-        Some(number).filter(|slice| *slice < self.slices)
+    pub fn slice_id(&self, number: usize) -> Option<SliceId> {
+        Some(number).filter(|slice| *slice < self.slice_count)
     }
 
     /// The number of slices.
-    pub fn slices(&self) -> usize {
-        self.slices
+    pub fn slice_count(&self) -> usize {
+        self.slice_count
     }
 
     /// The names of a load report's figures, in the order of the setting `report.fields`.
-    pub fn report(&self) -> impl Iterator<Item = &str> {
-        self.report.iter().map(String::as_str)
+    pub fn report_fields(&self) -> impl Iterator<Item = &str> {
+        self.report_fields.iter().map(String::as_str)
     }
 }
 
 /// Sets one figure of a load report by its name; unknown names are ignored.
-pub fn set_figure(load: &mut LoadReport, name: &str, value: f64) {
+pub fn set_report_value(load: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu_share" | "util" => load.cpu = Some(value),
         "busy_reqs" | "inflight" => load.in_flight = Some(value),
@@ -165,10 +165,13 @@
     fn index_freed_twice_is_reused_only_once() {
         let mut names = Names::default();
         let (a, b) = (names.endpoint("a"), names.endpoint("b"));
-        names.let_go(a.index);
-        names.let_go(a.index);
-        names.let_go(99);
-        assert_eq!((names.known("a"), names.server(a.index), names.servers().count()), (None, None, 1));
+        names.release_server(a.index);
+        names.release_server(a.index);
+        names.release_server(99);
+        assert_eq!(
+            (names.known_endpoint("a"), names.server_name(a.index), names.server_indices().count()),
+            (None, None, 1)
+        );
         let (c, d) = (names.endpoint("c"), names.endpoint("d"));
         assert_eq!((c.index, d.index, names.endpoint("b")), (a.index, 2, b));
         assert_ne!(c.stable_id, a.stable_id);
--- a/crates/whinhill-node/src/connection.rs
+++ b/crates/whinhill-node/src/connection.rs
@@ -8,7 +8,7 @@
 use mio::{Interest, Registry, Token};
 use socket2::SockRef;
 use whinhill::interface::EndpointId;
-use whinhill_errors::is_short_of_memory;
+use whinhill_errors::is_buffer_shortage;
 use whinhill_platform::discovery::DiscoveryRequest;
 use whinhill_platform::lines::LineBuffer;
 use whinhill_platform::peer::Peer;
@@ -209,7 +209,7 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(WriteOutcome::WouldBlock),
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(WriteOutcome::NotConnected),
-                Err(e) if is_short_of_memory(&e) => return Ok(WriteOutcome::Shortage(e)),
+                Err(e) if is_buffer_shortage(&e) => return Ok(WriteOutcome::Shortage(e)),
                 Err(e) => return Err(e),
             }
         }
@@ -258,7 +258,7 @@
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
                     return Ok(ReadOutcome::WouldBlock);
                 }
-                Err(e) if is_short_of_memory(&e) => {
+                Err(e) if is_buffer_shortage(&e) => {
                     self.last_read_failed = true;
                     return Ok(ReadOutcome::Shortage(e));
                 }
--- a/crates/whinhill-node/src/discovery.rs
+++ b/crates/whinhill-node/src/discovery.rs
@@ -99,7 +99,7 @@
         let fetched = !is_watch && !lists.is_empty();
         let all_newer = lists.iter().all(|list| self.accept_list(list));
         if is_current && all_newer {
-            self.server_starts.list_is_current(self.clock.now());
+            self.server_starts.set_list_current(self.clock.now());
         }
         match error {
             _ if !all_newer => self.fail_discovery_request(id, "the version of its list decreased"),
--- a/crates/whinhill-node/src/node.rs
+++ b/crates/whinhill-node/src/node.rs
@@ -22,7 +22,7 @@
 use whinhill_platform::relay::orders::RelayOrder;
 use whinhill_platform::relay::watch::RelayWatch;
 use whinhill_platform::roster::Roster;
-use whinhill_starts::Starts;
+use whinhill_starts::StartTimes;
 
 use crate::accepting::AcceptedClient;
 use crate::clock::Clock;
@@ -112,7 +112,7 @@
     /// The version of the server list.
     pub list_version: VersionTracker,
     /// When servers started.
-    pub server_starts: Starts,
+    pub server_starts: StartTimes,
     /// The relay watch is not opened before discovery has sent a list.
     pub relay_watch_awaits_list: bool,
     /// The connection of the discovery watch.
@@ -195,7 +195,7 @@
         let mut node = Node {
             names: Names::new(&config.settings),
             list_version: VersionTracker::new(stored_list.version),
-            server_starts: Starts::default(),
+            server_starts: StartTimes::default(),
             max_clients: config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + max_probes).max(8),
             poll,
             listener: Some(listener),
--- a/crates/whinhill-node/src/probes.rs
+++ b/crates/whinhill-node/src/probes.rs
@@ -134,7 +134,7 @@
     fn finish_probe(&mut self, id: Id, endpoint: EndpointId, result: ProbeOutcome, load: LoadReport) {
         if let Some(connection) = self.close(id).filter(|_| result == ProbeOutcome::Unanswered) {
             self.counters.probes_unanswered += 1;
-            let name = self.names.server(endpoint.index).unwrap_or("-");
+            let name = self.names.server_name(endpoint.index).unwrap_or("-");
             let reason =
                 if connection.has_received { "unreadable answer to a probe" } else { "no answer to a probe" };
             self.failure_log.log_server(name, connection.remote, reason);
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -279,7 +279,7 @@
     fn handle_partial_call(&mut self, rejected: RelayOrder) {
         warn!("the relay rejected an order: {rejected:?}");
         let RelayOrder::Line { server, on: true, .. } = rejected else { return };
-        let Some(endpoint) = self.names.known(&server) else { return };
+        let Some(endpoint) = self.names.known_endpoint(&server) else { return };
         let entry = ServerEntry { endpoint, zone: 0, status: ListedStatus::Gone, size: 1.0, started: None };
         self.pending_events.push(Event::List { kind: ListKind::Changes, entries: vec![entry] });
     }
--- a/crates/whinhill-node/src/server_lists.rs
+++ b/crates/whinhill-node/src/server_lists.rs
@@ -5,7 +5,7 @@
 use tracing::debug;
 use whinhill::interface::{Event, ListKind, ListedStatus, ServerEntry};
 use whinhill_platform::roster::Roster;
-use whinhill_starts::Reading;
+use whinhill_starts::ClockReading;
 
 use crate::limits::FORGET_SERVER_DELAY;
 use crate::node::{Node, TRACE};
@@ -28,9 +28,9 @@
                 ListedStatus::Gone => self.listed_servers.remove(&endpoint.index),
                 _ => self.listed_servers.insert(endpoint.index),
             };
-            let reading = Reading { now: self.clock.now(), wall: self.clock.wall() };
-            let started = self.server_starts.started(reading, &server.name, server.started_unix_ms);
-            let zone = self.names.zone(&server.zone);
+            let reading = ClockReading { monotonic: self.clock.now(), wall: self.clock.wall() };
+            let started = self.server_starts.start_time(reading, &server.name, server.started_unix_ms);
+            let zone = self.names.zone_id(&server.zone);
             entries.push(ServerEntry { endpoint, zone, status: server.status, size: server.size, started });
         }
         self.pending_events.push(Event::List { kind, entries });
@@ -41,12 +41,12 @@
     pub fn forget_unlisted_servers(&mut self) {
         let now = self.clock.now();
         let unlisted: BTreeSet<usize> =
-            self.names.servers().filter(|i| !self.listed_servers.contains(i)).collect();
+            self.names.server_indices().filter(|i| !self.listed_servers.contains(i)).collect();
         self.unlisted_since.retain(|index, _| unlisted.contains(index));
         for index in unlisted {
             let since = *self.unlisted_since.entry(index).or_insert(now);
             if now >= since + FORGET_SERVER_DELAY && self.assigner.can_reuse_index(index) {
-                self.names.let_go(index);
+                self.names.release_server(index);
                 self.probe_queue.forget(index);
                 self.unlisted_since.remove(&index);
                 self.server_addrs.get_mut(index).into_iter().for_each(|addr| *addr = None);
--- a/crates/whinhill-node/src/startup_retry.rs
+++ b/crates/whinhill-node/src/startup_retry.rs
@@ -6,7 +6,7 @@
 
 use tracing::warn;
 
-use whinhill_errors::may_pass_on_disk;
+use whinhill_errors::is_temporary_file_error;
 use whinhill_platform::config::PlatformConfig;
 
 use crate::limits::{STARTUP_RETRY_DELAY, STARTUP_RETRY_DURATION};
@@ -36,7 +36,7 @@
     loop {
         match crate::read_config(path) {
             Err(NodeError::Read { source, .. })
-                if may_pass_on_disk(&source) && started.elapsed() < STARTUP_RETRY_DURATION =>
+                if is_temporary_file_error(&source) && started.elapsed() < STARTUP_RETRY_DURATION =>
             {
                 std::thread::sleep(STARTUP_RETRY_DELAY);
             }
--- a/crates/whinhill-node/src/status_log.rs
+++ b/crates/whinhill-node/src/status_log.rs
@@ -135,7 +135,7 @@
         info!(
             proxies = self.relay_watch.proxy_count(),
             slices = self.relay_watch.slice_count(),
-            servers = self.names.servers().count(),
+            servers = self.names.server_indices().count(),
             connections = self.connections.len(),
             strangers = self.unjoined_count,
             waiting = self.relay_calls.queued_orders(),
@@ -260,12 +260,12 @@
             return;
         }
         let loads = self.assigner.estimated_loads();
-        for server in self.names.servers().filter(|s| self.assigner.health(*s) != Health::Gone) {
+        for server in self.names.server_indices().filter(|s| self.assigner.health(*s) != Health::Gone) {
             let health = self.assigner.health(server);
             let load = loads.get(server).copied().unwrap_or_default();
-            let slices = (0..self.names.slices()).filter(|s| self.assigner.owner(*s) == Some(server));
+            let slices = (0..self.names.slice_count()).filter(|s| self.assigner.owner(*s) == Some(server));
             let (moving, own): (Vec<_>, Vec<_>) = slices.partition(|s| self.assigner.has_handover(*s));
-            let name = self.names.server(server).unwrap_or("-");
+            let name = self.names.server_name(server).unwrap_or("-");
             debug!(target: BELIEFS, "server {server} {name} {health:?} load {load:.2} owns {own:?} moving {moving:?}");
         }
         debug!(target: BELIEFS, "channel {:.0} lines, {} queued orders", self.assigner.queued_lines(), self.relay_calls.queued_orders());
--- a/crates/whinhill-platform/src/peer.rs
+++ b/crates/whinhill-platform/src/peer.rs
@@ -130,7 +130,7 @@
     match reports::text_field(message, "@type")? {
         "probe" => Ok(PeerMessage::LivenessCheck),
         "agent" => {
-            let zone = names.known_zone(reports::text_field(message, "site")?);
+            let zone = names.known_zone_id(reports::text_field(message, "site")?);
             zone.map(PeerMessage::Joined).ok_or(ReportError::Unknown("site"))
         }
         "outcomes" if joined => reports::parse_try_report(message, names).map(PeerMessage::Report),
--- a/crates/whinhill-platform/src/relay/orders.rs
+++ b/crates/whinhill-platform/src/relay/orders.rs
@@ -36,7 +36,7 @@
     /// Translates an order; `None` if the relay has no part in it or the server has no name.
     pub fn from_order(order: &Order, names: &Names) -> Option<Self> {
         let line = |slice: SliceId, index: usize, on| {
-            names.server(index).map(|name| RelayOrder::Line { slice, server: name.to_string(), on })
+            names.server_name(index).map(|name| RelayOrder::Line { slice, server: name.to_string(), on })
         };
         match order {
             Order::Grant { slice, endpoint } => line(*slice, endpoint.index, true),
@@ -72,7 +72,7 @@
 
 /// The names of the methods in a mask, joined with `+`; `*` if there is none.
 fn method_names(methods: MethodMask, names: &Names) -> String {
-    let in_mask = (0..names.methods().min(32)).filter(|m| methods & (1 << m) != 0);
+    let in_mask = (0..names.method_count().min(32)).filter(|m| methods & (1 << m) != 0);
     let words: Vec<&str> = in_mask.filter_map(|m| names.method_name(m)).collect();
     if words.is_empty() {
         "*".to_string()
--- a/crates/whinhill-platform/src/relay/watch.rs
+++ b/crates/whinhill-platform/src/relay/watch.rs
@@ -139,7 +139,7 @@
         let Some(kind) = words.next() else { return Some(Message::Heartbeat) };
         let mut word = || words.next();
         Some(match kind {
-            "hello" => Message::Hello(word()?.parse().ok()?, names.zone(word()?)),
+            "hello" => Message::Hello(word()?.parse().ok()?, names.zone_id(word()?)),
             "bye" => Message::Bye(word()?.parse().ok()?),
             "ack" => {
                 let (proxy, ack_seq) = (word()?.parse().ok()?, word()?.parse().ok()?);
@@ -147,7 +147,7 @@
                 Message::Ack(proxy, ack_seq, Duration::try_from_secs_f64(ms.max(0.0) / 1e3).ok()?)
             }
             "lease" => {
-                let slice = names.slice(word()?.parse().ok()?)?;
+                let slice = names.slice_id(word()?.parse().ok()?)?;
                 match word()? {
                     "1" => Message::Lease(slice, true),
                     "0" => Message::Lease(slice, false),
@@ -155,7 +155,7 @@
                 }
             }
             "line" => {
-                let (slice, server) = (names.slice(word()?.parse().ok()?)?, word()?);
+                let (slice, server) = (names.slice_id(word()?.parse().ok()?)?, word()?);
                 let weight: f64 = word()?.parse().ok()?;
                 if weight > 0.0 {
                     Message::Line(slice, server)
--- a/crates/whinhill-platform/src/relay/watch/tests.rs
+++ b/crates/whinhill-platform/src/relay/watch/tests.rs
@@ -43,7 +43,7 @@
     }
 
     fn endpoint(&self, name: &str) -> EndpointId {
-        self.names.known(name).unwrap()
+        self.names.known_endpoint(name).unwrap()
     }
 }
 
--- a/crates/whinhill-platform/src/reports.rs
+++ b/crates/whinhill-platform/src/reports.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 use whinhill::interface::{Event, LoadReport};
-use whinhill_names::{set_figure, Names};
+use whinhill_names::{set_report_value, Names};
 
 /// Longest reporting interval or wait that a report may contain, in milliseconds. The longest deadlines are seconds,
 /// and figures that the feed cannot carry are accumulated for some seconds more.
@@ -32,8 +32,9 @@
 
 /// Parses a report of the tries that the proxies of a zone made at a server.
 pub fn parse_try_report(message: &Message, names: &Names) -> Result<Event, ReportError> {
-    let zone = names.known_zone(text_field(message, "site")?).ok_or(ReportError::Unknown("site"))?;
-    let endpoint = names.known(text_field(message, "target")?).ok_or(ReportError::Unknown("target"))?;
+    let zone = names.known_zone_id(text_field(message, "site")?).ok_or(ReportError::Unknown("site"))?;
+    let endpoint =
+        names.known_endpoint(text_field(message, "target")?).ok_or(ReportError::Unknown("target"))?;
     let (tries, lost) = (count_field(message, "count")?, count_field(message, "fail")?);
     if lost > tries {
         return Err(ReportError::OutOfRange("fail"));
@@ -52,8 +53,8 @@
 pub fn parse_demand(message: &Message, names: &Names) -> Result<Event, ReportError> {
     let number = count_field(message, "range")?;
     let slice =
-        usize::try_from(number).ok().and_then(|n| names.slice(n)).ok_or(ReportError::Unknown("range"))?;
-    let method = names.method(text_field(message, "lane")?).ok_or(ReportError::Unknown("lane"))?;
+        usize::try_from(number).ok().and_then(|n| names.slice_id(n)).ok_or(ReportError::Unknown("range"))?;
+    let method = names.method_id(text_field(message, "lane")?).ok_or(ReportError::Unknown("lane"))?;
     let (rpcs, lost) = (count_field(message, "count")?, count_field(message, "fail")?);
     Ok(Event::Demand { slice, method, rpcs, lost, interval: interval_field(message)? })
 }
@@ -65,7 +66,7 @@
         if !(0.0..=MAX_LOAD_FIGURE).contains(&value) {
             return Err(ReportError::OutOfRange("util"));
         }
-        set_figure(&mut load, name, value);
+        set_report_value(&mut load, name, value);
     }
     Ok(load)
 }
@@ -77,7 +78,7 @@
     for (name, word) in body.trim().split(',').filter_map(|pair| pair.split_once('=')) {
         let value = word.trim().parse::<f64>().ok().filter(|v| (0.0..=MAX_LOAD_FIGURE).contains(v));
         if let Some(value) = value {
-            set_figure(&mut load, name.trim(), value);
+            set_report_value(&mut load, name.trim(), value);
         }
     }
     load
--- a/crates/whinhill-simhost/src/wire.rs
+++ b/crates/whinhill-simhost/src/wire.rs
@@ -11,7 +11,7 @@
     EndpointId, Event, ListKind, ListedStatus, LoadReport, MethodId, Order, ProbeOutcome, ServerEntry,
     Settings, SettingsError, SliceId,
 };
-use whinhill_names::{set_figure, Names};
+use whinhill_names::{set_report_value, Names};
 
 /// Says what is wrong with a line.
 #[derive(Debug, PartialEq, Eq)]
@@ -106,12 +106,12 @@
     }
 
     fn method(&self, name: &str) -> Result<MethodId, ParseError> {
-        self.0.method(name).ok_or_else(|| ParseError(format!("unknown class {name:?}")))
+        self.0.method_id(name).ok_or_else(|| ParseError(format!("unknown class {name:?}")))
     }
 
     fn slice(&self, fields: &mut Fields) -> Result<SliceId, ParseError> {
         let slice = fields.required("table")?;
-        self.0.slice(slice).ok_or_else(|| ParseError(format!("there is no slice {slice}")))
+        self.0.slice_id(slice).ok_or_else(|| ParseError(format!("there is no slice {slice}")))
     }
 
     /// Parses a load report. Values are in the order of the setting `report.fields`; unknown names are skipped.
@@ -120,12 +120,12 @@
         if values == "-" {
             return Ok(load);
         }
-        for (name, word) in self.0.report().zip(values.split(',')) {
+        for (name, word) in self.0.report_fields().zip(values.split(',')) {
             if word == "-" || word.is_empty() {
                 continue;
             }
             let value = word.parse().map_err(|_| ParseError(format!("cannot read {name} from {word:?}")))?;
-            set_figure(&mut load, name, value);
+            set_report_value(&mut load, name, value);
         }
         Ok(load)
     }
@@ -137,7 +137,7 @@
             return Err(ParseError("a list entry was expected".into()));
         }
         let endpoint = self.0.endpoint(fields.text("task")?);
-        let zone = self.0.zone(fields.text("campus")?);
+        let zone = self.0.zone_id(fields.text("campus")?);
         fields.text("machine")?;
         fields.text("unitGroup")?;
         let status = match fields.text("status")? {
@@ -157,7 +157,7 @@
             "roundup" => {
                 let mean_wait = fields.time("waitTime")?;
                 let tries = fields.required("total")?;
-                let zone = self.0.zone(fields.text("campus")?);
+                let zone = self.0.zone_id(fields.text("campus")?);
                 let endpoint = self.0.endpoint(fields.text("task")?);
                 let interval = fields.time("span")?;
                 let lost = fields.required("lost")?;
@@ -185,7 +185,7 @@
             }
             "dialled_in" => Event::ProxyJoined {
                 proxy: fields.required("clientLb")?,
-                zone: self.0.zone(fields.text("campus")?),
+                zone: self.0.zone_id(fields.text("campus")?),
             },
             "dropped_off" => Event::ProxyLeft { proxy: fields.required("clientLb")? },
             "acked" => {
@@ -217,7 +217,7 @@
 
     /// Appends one order to the reply as a line.
     pub fn write_order(&self, out: &mut String, instance: &str, order: &Order) {
-        let name_of = |endpoint: &EndpointId| self.0.server(endpoint.index).unwrap_or("-");
+        let name_of = |endpoint: &EndpointId| self.0.server_name(endpoint.index).unwrap_or("-");
         let result = match order {
             Order::Grant { slice, endpoint } => {
                 writeln!(out, "set_line {instance} 1 {slice} {}", name_of(endpoint))
--- a/crates/whinhill-starts/src/lib.rs
+++ b/crates/whinhill-starts/src/lib.rs
@@ -9,12 +9,12 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use whinhill_starts::{Reading, Starts};
-//! let mut starts = Starts::default();
+//! use whinhill_starts::{ClockReading, StartTimes};
+//! let mut starts = StartTimes::default();
 //! // Monotonic and wall time have independent origins.
-//! let reading = Reading { now: Duration::from_secs(50), wall: Duration::from_secs(1_000_050) };
-//! starts.list_is_current(reading.now);
-//! assert_eq!(starts.started(reading, "s-1", 1_000_048_000), Some(Duration::from_secs(48)));
+//! let reading = ClockReading { monotonic: Duration::from_secs(50), wall: Duration::from_secs(1_000_050) };
+//! starts.set_list_current(reading.monotonic);
+//! assert_eq!(starts.start_time(reading, "s-1", 1_000_048_000), Some(Duration::from_secs(48)));
 //! ```
 
 use std::collections::{HashMap, VecDeque};
@@ -34,9 +34,9 @@
 
 /// The monotonic and the wall clock, read at the same time.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct ClockReading {
     /// Monotonic time, with an arbitrary origin.
-    pub now: Duration,
+    pub monotonic: Duration,
     /// Wall time since the Unix epoch.
     pub wall: Duration,
 }
@@ -50,7 +50,7 @@
 
 /// The start times of the servers that lists have contained.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct StartTimes {
     recorded: HashMap<String, RecordedStart>,
     /// The names in `recorded`, in the order in which they were added.
     order: VecDeque<String>,
@@ -60,15 +60,15 @@
     list_current_at: Option<Duration>,
 }
 
-impl Starts {
+impl StartTimes {
     /// Records that discovery has sent the list, or has confirmed that nothing in it changed.
-    pub fn list_is_current(&mut self, now: Duration) {
+    pub fn set_list_current(&mut self, now: Duration) {
         self.list_current_at = Some(now);
     }
 
     /// The monotonic start time of a server whose timestamp is `stamp_ms` in Unix milliseconds; `None` for the
     /// timestamp 0, which means long ago.
-    pub fn started(&mut self, reading: Reading, name: &str, stamp_ms: u64) -> Option<Duration> {
+    pub fn start_time(&mut self, reading: ClockReading, name: &str, stamp_ms: u64) -> Option<Duration> {
         self.record_clock_offset(reading);
         if stamp_ms == 0 {
             return None;
@@ -76,7 +76,7 @@
         if let Some(recorded) = self.recorded.get(name).filter(|recorded| recorded.stamp_ms == stamp_ms) {
             return Some(recorded.started);
         }
-        let started = reading.now.saturating_sub(self.youngest_age(reading.now, stamp_ms));
+        let started = reading.monotonic.saturating_sub(self.youngest_age(reading.monotonic, stamp_ms));
         self.record_start(name, RecordedStart { stamp_ms, started });
         Some(started)
     }
@@ -91,8 +91,8 @@
     }
 
     /// Adds the current clock offset if the wall clock was stepped since the last one.
-    fn record_clock_offset(&mut self, reading: Reading) {
-        let offset_ms = millis(reading.wall).saturating_sub(millis(reading.now));
+    fn record_clock_offset(&mut self, reading: ClockReading) {
+        let offset_ms = millis(reading.wall).saturating_sub(millis(reading.monotonic));
         let same = |last: &i64| last.abs_diff(offset_ms) < MIN_CLOCK_STEP_MS;
         if self.clock_offsets_ms.back().is_some_and(same) {
             return;
--- a/crates/whinhill-store/src/resp.rs
+++ b/crates/whinhill-store/src/resp.rs
@@ -10,7 +10,7 @@
 use redis_protocol::resp2::encode::extend_encode;
 pub use redis_protocol::resp2::types::BytesFrame as Frame;
 
-use whinhill_errors::{is_local, is_short_of_memory, until_had};
+use whinhill_errors::{is_buffer_shortage, is_local_connect_error, retry_while_temporary};
 
 use crate::store::StoreFault;
 
@@ -60,7 +60,8 @@
         let unreachable = |error: std::io::Error| StoreFault::Unreachable(format!("{addr}: {error}"));
         let started = Instant::now();
         let remaining = || timeout.saturating_sub(started.elapsed()).max(MIN_CONNECT_TIMEOUT);
-        let stream = until_had(timeout, is_local, || connect(remaining())).map_err(unreachable)?;
+        let stream = retry_while_temporary(timeout, is_local_connect_error, || connect(remaining()))
+            .map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
         Ok(Connection { stream, received: BytesMut::new() })
     }
@@ -120,7 +121,7 @@
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => out = &out[count..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if is_short_of_memory(&error) && Instant::now() < deadline => {
+                Err(error) if is_buffer_shortage(&error) && Instant::now() < deadline => {
                     thread::sleep(RETRY_DELAY)
                 }
                 Err(error) => return Err(error),
@@ -148,7 +149,7 @@
                 Ok(())
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => Ok(()),
-            Err(error) if is_short_of_memory(&error) => {
+            Err(error) if is_buffer_shortage(&error) => {
                 thread::sleep(RETRY_DELAY);
                 Ok(())
             }
--- a/crates/whinhill-transport/src/call.rs
+++ b/crates/whinhill-transport/src/call.rs
@@ -15,7 +15,9 @@
 use http::uri::Authority;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode, Uri};
 use tracing::{debug, warn};
-use whinhill_errors::{is_local, is_of_one_connection, is_scarce, until_had};
+use whinhill_errors::{
+    is_connection_accept_error, is_local_connect_error, is_resource_shortage, retry_while_temporary,
+};
 
 use crate::blocking::{block_on, poll_until};
 use crate::connection::{micros_now, CountGuard, Handler, ListenerShutdown, ListenerSlot, SharedState};
@@ -289,7 +291,8 @@
         drivers: &Drivers,
         handler: impl Fn(ServerCall) + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        let socket = until_had(LISTEN_RETRY_TIMEOUT, is_scarce, || TcpListener::bind(addr))?;
+        let socket =
+            retry_while_temporary(LISTEN_RETRY_TIMEOUT, is_resource_shortage, || TcpListener::bind(addr))?;
         let addr = socket.local_addr()?;
         let (shutdown, count): (Arc<ListenerShutdown>, _) = (Arc::default(), Arc::new(AtomicUsize::new(0)));
         let (accept_shutdown, counter, drivers) = (shutdown.clone(), count.clone(), drivers.clone());
@@ -319,7 +322,7 @@
                 }
                 // An accept in a process out of file descriptors fails at once, again and again: pause instead
                 // of spinning, but keep listening. An error of a single connection does not delay the others.
-                if error.raw_os_error().is_some() && !is_of_one_connection(&error) {
+                if error.raw_os_error().is_some() && !is_connection_accept_error(&error) {
                     thread::park_timeout(ACCEPT_RETRY_DELAY);
                 }
             }
@@ -357,7 +360,7 @@
         self.shutdown.stop.store(true, Ordering::Relaxed);
         // Unblocks the accept, which then sees the flag.
         let wake = || TcpStream::connect_timeout(&self.addr, Duration::from_secs(1));
-        let woken = until_had(LISTEN_RETRY_TIMEOUT, is_local, wake).is_ok();
+        let woken = retry_while_temporary(LISTEN_RETRY_TIMEOUT, is_local_connect_error, wake).is_ok();
         if let Some(thread) = self.thread.take().filter(|_| woken) {
             let _ = thread.join();
         }
@@ -452,9 +455,14 @@
     /// Connects to `addr` and waits for the HTTP/2 handshake, each for at most `limits.handshake`.
     pub fn connect(addr: SocketAddr, limits: Limits, drivers: &Drivers) -> Result<Self, CallError> {
         let dial = || TcpStream::connect_timeout(&addr, limits.handshake);
-        let socket = until_had(CONNECT_RETRY_TIMEOUT, is_local, dial).map_err(|error| {
-            CallError::NeverRan(if is_local(&error) { NeverRan::NotTried } else { NeverRan::NoConnection })
-        })?;
+        let socket =
+            retry_while_temporary(CONNECT_RETRY_TIMEOUT, is_local_connect_error, dial).map_err(|error| {
+                CallError::NeverRan(if is_local_connect_error(&error) {
+                    NeverRan::NotTried
+                } else {
+                    NeverRan::NoConnection
+                })
+            })?;
         let (result_sender, result_receiver) = bounded(1);
         let shared_state = SharedState::new(Arc::default());
         let (max_message, timeout) = (limits.message_most, limits.handshake);
--- a/crates/whinhill-transport/src/driver.rs
+++ b/crates/whinhill-transport/src/driver.rs
@@ -15,7 +15,7 @@
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token};
 use tracing::error;
-use whinhill_errors::{is_scarce, until_had};
+use whinhill_errors::{is_resource_shortage, retry_while_temporary};
 
 use crate::connection::{Connection, Handler, ListenerSlot, SharedState};
 use crate::limits::Limits;
@@ -200,7 +200,8 @@
     pub fn start(name: &str, threads: usize) -> io::Result<Self> {
         let mut drivers = Vec::new();
         for number in 0..threads.max(1) {
-            let (poll, waker) = until_had(START_RETRY_TIMEOUT, is_scarce, poll_with_waker)?;
+            let (poll, waker) =
+                retry_while_temporary(START_RETRY_TIMEOUT, is_resource_shortage, poll_with_waker)?;
             let driver =
                 Arc::new(DriverWaker { waker, ready: Mutex::default(), notified: AtomicBool::new(false) });
             let (inbox, commands) = bounded(INBOX_CAPACITY);
@@ -324,7 +325,7 @@
                 Ok(fd) => connections[key] = create_connection(driver, key, fd, command),
                 Err(error) => {
                     free_keys.push(key);
-                    if is_scarce(&error) && since.elapsed() < timeout {
+                    if is_resource_shortage(&error) && since.elapsed() < timeout {
                         // Retried after the next event or tick.
                         pending.push(PendingCommand { command, since });
                     } else {
--- a/crates/whinhill-transport/src/socket.rs
+++ b/crates/whinhill-transport/src/socket.rs
@@ -15,7 +15,7 @@
 use rustix::net::sockopt::set_socket_linger;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use whinhill_errors::is_short_of_memory;
+use whinhill_errors::is_buffer_shortage;
 
 /// A byte stream that can carry a connection: a plain socket now, possibly TLS later.
 pub trait Wire: Read + Write + Send {
@@ -60,7 +60,7 @@
 /// retried on the next event or the driver's next tick, which polls every connection.
 fn pending_if_transient<T>(result: io::Result<T>) -> Poll<io::Result<T>> {
     match result {
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_short_of_memory(&error) => {
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock || is_buffer_shortage(&error) => {
             Poll::Pending
         }
         other => Poll::Ready(other),
