--- a/crates/whinhill-cli/src/bench.rs
+++ b/crates/whinhill-cli/src/bench.rs
@@ -1,4 +1,4 @@
-//! `whinhill bench`: prints figures, each with its baseline in the same run.
+//! `whinhill bench`: runs benchmarks and prints their figures, each with a baseline from the same run.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -12,57 +12,61 @@
 
 use crate::bench_decisions::{self, DecisionsBench};
 use crate::bench_proxy::{self, ProxyBench};
-use crate::{config, Failed};
+use crate::{config, CommandError};
 
+/// The benchmarks.
 #[derive(Subcommand)]
 pub enum BenchCommand {
-    /// Play a day of a grown fleet with every proxy incremental, then with every proxy state of the world.
+    /// Run a day of a large fleet with all proxies on incremental xDS, then with all on state-of-the-world xDS.
     Fleet {
         #[arg(default_value = "days/fleet.json5")]
         file: PathBuf,
-        /// Keep configurations, logs and status there.
+        /// Folder in which configurations, logs and status are kept.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// What keeping a version on disk costs, and taking the history up again.
+    /// Measure the cost of writing a version to disk and of reopening the history.
     History {
+        /// Number of versions to write.
         #[arg(long, default_value_t = 2000)]
         versions: u64,
+        /// Number of slices.
         #[arg(long, default_value_t = 900)]
         slices: usize,
-        /// Slices that each version changes.
+        /// Number of slices that each version changes.
         #[arg(long, default_value_t = 10)]
         changes: usize,
     },
-    /// One proxy's process against its server direct: RPCs a second a core, what it adds at half load, what a full
-    /// set of tables costs meanwhile, and memory by RPCs in hand.
+    /// Compare one proxy process with its server called directly: RPCs per second and core, added latency at half load,
+    /// the cost of full sets of tables during the load, and memory by RPCs in flight.
     Proxy(ProxyBench),
-    /// The module at a fleet's size: its first batch, batches of steady periods and of releases, and memory.
+    /// Measure the module at a fleet's size: its first batch, batches of steady periods and of releases, and memory.
     Decisions(DecisionsBench),
 }
 
-pub fn run(command: BenchCommand) -> Result<(), Failed> {
-    let failed = |error: &dyn std::fmt::Display| Failed::Running(error.to_string());
-    let program = std::env::current_exe().map_err(|error| failed(&error))?;
-    let scratch = tempfile::tempdir().map_err(|error| failed(&error))?;
+/// Runs a benchmark and prints its figures as JSON.
+pub fn run(command: BenchCommand) -> Result<(), CommandError> {
+    let program = std::env::current_exe().map_err(CommandError::runtime)?;
+    let scratch = tempfile::tempdir().map_err(CommandError::runtime)?;
     match command {
         BenchCommand::Fleet { file, out } => {
-            let day: Day = config::read(&file, Day::check)?;
+            let day: Day = config::read_file(&file, Day::check)?;
             let out = out.unwrap_or_else(|| scratch.path().to_path_buf());
-            let figures = bench::fleet(&day, &program, &out).map_err(|error| failed(&error))?;
-            figures.iter().try_for_each(print)
+            let figures = bench::fleet(&day, &program, &out).map_err(CommandError::runtime)?;
+            figures.iter().try_for_each(print_json)
         }
         BenchCommand::History { versions, slices, changes } => {
             let path = scratch.path().join("history.redb");
-            let figures =
-                history(&path, versions, slices.max(1), changes.max(1)).map_err(|error| failed(&error))?;
-            print(&figures)
+            let figures = measure_history(&path, versions, slices.max(1), changes.max(1))
+                .map_err(CommandError::runtime)?;
+            print_json(&figures)
         }
-        BenchCommand::Decisions(args) => print(&bench_decisions::measure(&args)?),
-        BenchCommand::Proxy(args) => print(&bench_proxy::measure(&args, &program, scratch.path())?),
+        BenchCommand::Decisions(args) => print_json(&bench_decisions::measure(&args)?),
+        BenchCommand::Proxy(args) => print_json(&bench_proxy::measure(&args, &program, scratch.path())?),
     }
 }
 
+/// Figures of the history benchmark, as they are printed.
 #[derive(Serialize)]
 struct HistoryFigures {
     versions: u64,
@@ -74,7 +78,8 @@
     reopen_ms: f64,
 }
 
-fn history(
+/// Writes versions to a new history, reopens it, and compares what it contains with what was written.
+fn measure_history(
     path: &std::path::Path,
     versions: u64,
     slices: usize,
@@ -88,42 +93,43 @@
         shares: vec![1.0, 1.0],
         tries: 1,
     };
-    let (mut book, mut history) = Book::open(path, limits)?;
-    let mut took = Vec::new();
+    let (mut db, mut history) = Book::open(path, limits)?;
+    let mut write_times_us = Vec::new();
     for number in 1..=versions {
-        let touched = (0..changes).map(|k| (number as usize * changes + k) % slices);
-        let set: Changes = touched.map(|slice| (slice, Some(table(slice, number)))).collect();
-        let at = Duration::from_secs(number);
-        let delta = history.advance(set, Author::Module, "elimination: 10 moves", at, number * 1000);
+        let changed_slices = (0..changes).map(|index| (number as usize * changes + index) % slices);
+        let changes: Changes = changed_slices.map(|slice| (slice, Some(table(slice, number)))).collect();
+        let now = Duration::from_secs(number);
+        let delta = history.advance(changes, Author::Module, "elimination: 10 moves", now, number * 1000);
         let began = Instant::now();
         if let Some(delta) = delta {
-            book.keep(&history.page(delta))?;
+            db.keep(&history.page(delta))?;
         }
-        took.push(began.elapsed().as_micros() as u64);
+        write_times_us.push(began.elapsed().as_micros() as u64);
     }
-    drop(book);
-    took.sort_unstable();
+    drop(db);
+    write_times_us.sort_unstable();
     let began = Instant::now();
-    let (_, found) = Book::open(path, limits)?;
+    let (_, reopened) = Book::open(path, limits)?;
     let reopen_ms = began.elapsed().as_secs_f64() * 1e3;
-    if found.current() != history.current() {
-        return Err("the history found is not the one kept".into());
+    if reopened.current() != history.current() {
+        return Err("the reopened history differs from the one written".into());
     }
-    let at = |share: f64| took.get((took.len() as f64 * share) as usize).copied().unwrap_or(0);
+    let quantile =
+        |share: f64| write_times_us.get((write_times_us.len() as f64 * share) as usize).copied().unwrap_or(0);
     let file_mb = std::fs::metadata(path)?.len() as f64 / 1e6;
     Ok(HistoryFigures {
         versions,
         slices,
         changes,
-        keep_us_p50: at(0.5),
-        keep_us_p99: at(0.99),
+        keep_us_p50: quantile(0.5),
+        keep_us_p99: quantile(0.99),
         file_mb,
         reopen_ms,
     })
 }
 
-fn print(figures: &impl Serialize) -> Result<(), Failed> {
-    let text = serde_json::to_string(figures).map_err(|error| Failed::Running(error.to_string()))?;
+fn print_json(figures: &impl Serialize) -> Result<(), CommandError> {
+    let text = serde_json::to_string(figures).map_err(CommandError::runtime)?;
     println!("{text}");
     Ok(())
 }
--- a/crates/whinhill-cli/src/config.rs
+++ b/crates/whinhill-cli/src/config.rs
@@ -1,4 +1,4 @@
-//! Reads a JSON5 file and names all that is wrong with it at once.
+//! Reads JSON5 configuration files.
 
 use std::fs;
 use std::path::Path;
@@ -6,19 +6,25 @@
 use serde::de::DeserializeOwned;
 use whinhill_assigner::Fault;
 
-use crate::Failed;
+use crate::CommandError;
 
-pub fn read<T: DeserializeOwned>(path: &Path, check: impl Fn(&T) -> Vec<Fault>) -> Result<T, Failed> {
-    let at = path.display();
-    let text = fs::read_to_string(path).map_err(|error| Failed::Usage(format!("{at}: {error}")))?;
+/// Reads and checks a JSON5 file. The error lists all errors that `check` finds at once.
+pub fn read_file<T: DeserializeOwned>(
+    path: &Path,
+    check: impl Fn(&T) -> Vec<Fault>,
+) -> Result<T, CommandError> {
+    let shown_path = path.display();
+    let text =
+        fs::read_to_string(path).map_err(|error| CommandError::Usage(format!("{shown_path}: {error}")))?;
     let value: T = json5::from_str(&text).map_err(|error| {
-        let place = error.position().map(|place| format!(":{}:{}", place.line + 1, place.column + 1));
-        Failed::Usage(format!("{at}{}: {error}", place.unwrap_or_default()))
+        let position =
+            error.position().map(|position| format!(":{}:{}", position.line + 1, position.column + 1));
+        CommandError::Usage(format!("{shown_path}{}: {error}", position.unwrap_or_default()))
     })?;
-    let faults = check(&value);
-    if faults.is_empty() {
+    let errors = check(&value);
+    if errors.is_empty() {
         return Ok(value);
     }
-    let all: Vec<String> = faults.iter().map(|fault| format!("{at}: {fault}")).collect();
-    Err(Failed::Usage(all.join("\n")))
+    let lines: Vec<String> = errors.iter().map(|error| format!("{shown_path}: {error}")).collect();
+    Err(CommandError::Usage(lines.join("\n")))
 }
--- a/crates/whinhill-cli/src/log_queue.rs
+++ b/crates/whinhill-cli/src/log_queue.rs
@@ -1,8 +1,8 @@
-//! A bounded queue of log lines before standard error, with a thread of its own that writes them: whoever logs
-//! never waits for a reader. Lines that find no room, or cannot be written, are dropped and counted.
+//! A bounded queue of log lines with a thread that writes them to standard error, so that a thread that logs never
+//! blocks on a slow reader. Lines that don't fit or can't be written are dropped and counted.
 //!
-//! `tracing-appender` bounds its queue by lines rather than bytes, and waits up to 1.1 s for its writer at the end,
-//! more than a stopping assigner has.
+//! `tracing-appender` is not used: it bounds its queue by lines rather than bytes, and waits up to 1.1 s for its
+//! writer at exit, which is longer than an assigner has to stop.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -14,38 +14,38 @@
 use tracing::warn;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Bytes of lines that wait, at most: seconds of a verbose log, and little beside the smallest memory limit.
-const BYTES_MOST: usize = 512 * 1024;
-/// So long the lines that wait may still be written at the end; a reader that stands still loses them.
-const FLUSH_WITHIN: Duration = Duration::from_millis(100);
+/// Maximum bytes of queued lines: seconds of a verbose log, and small compared with the smallest memory limit.
+const MAX_QUEUED_BYTES: usize = 512 * 1024;
+/// Time limit for writing queued lines at exit; if the reader doesn't read for this long, they are lost.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Lines on their way to standard error.
+/// Queue of log lines; clones share it.
 #[derive(Clone)]
 pub struct LogQueue {
     shared: Arc<Shared>,
 }
 
 struct Shared {
-    waiting: Mutex<Waiting>,
-    /// A line came.
-    added: Condvar,
-    /// All that waited is written or dropped.
+    queued: Mutex<QueuedLines>,
+    /// Signals that a line was queued.
+    line_added: Condvar,
+    /// Signals that all queued lines are written or dropped.
     emptied: Condvar,
     dropped: Arc<AtomicU64>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct QueuedLines {
     lines: VecDeque<Vec<u8>>,
     bytes: usize,
-    /// Lines that the writer has taken and not written yet.
-    being_written: bool,
+    /// Whether the writer has taken lines that it has not finished writing.
+    writing: bool,
 }
 
 impl Shared {
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        // Nothing panics while it holds the lock half done: the lines are whole either way.
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_queued(&self) -> MutexGuard<'_, QueuedLines> {
+        // A poisoned lock is usable: nothing panics halfway through a change of the queue.
+        self.queued.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -53,70 +53,72 @@
     /// Starts the thread that writes to `out`.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
         let shared = Arc::new(Shared {
-            waiting: Mutex::default(),
-            added: Condvar::new(),
+            queued: Mutex::default(),
+            line_added: Condvar::new(),
             emptied: Condvar::new(),
             dropped: Arc::default(),
         });
         let queue = LogQueue { shared: shared.clone() };
-        thread::Builder::new().name("log".to_string()).spawn(move || write_on(&shared, out))?;
+        thread::Builder::new().name("log".to_string()).spawn(move || run_writer(&shared, out))?;
         Ok(queue)
     }
 
-    /// How many lines were dropped since the start, counted on.
-    pub fn dropped(&self) -> Arc<AtomicU64> {
+    /// Counter of the lines dropped since the start; it is shared and keeps counting.
+    pub fn dropped_lines(&self) -> Arc<AtomicU64> {
         self.shared.dropped.clone()
     }
 
+    /// Queues a line, or drops and counts it if the queue is full.
     fn push(&self, line: &[u8]) {
-        let mut waiting = self.shared.waiting();
-        if waiting.bytes + line.len() > BYTES_MOST {
+        let mut queued = self.shared.lock_queued();
+        if queued.bytes + line.len() > MAX_QUEUED_BYTES {
             self.shared.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        waiting.bytes += line.len();
-        waiting.lines.push_back(line.to_vec());
-        self.shared.added.notify_one();
+        queued.bytes += line.len();
+        queued.lines.push_back(line.to_vec());
+        self.shared.line_added.notify_one();
     }
 
-    /// Waits until all lines are written, for a short time at most.
+    /// Waits until all lines are written, up to `FLUSH_TIMEOUT`.
     pub fn flush(&self) {
-        let busy = |waiting: &mut Waiting| waiting.being_written || !waiting.lines.is_empty();
-        drop(self.shared.emptied.wait_timeout_while(self.shared.waiting(), FLUSH_WITHIN, busy));
+        let busy = |queued: &mut QueuedLines| queued.writing || !queued.lines.is_empty();
+        drop(self.shared.emptied.wait_timeout_while(self.shared.lock_queued(), FLUSH_TIMEOUT, busy));
     }
 }
 
-/// Takes all lines that wait, writes them, and begins again, for as long as the process lives.
-fn write_on(shared: &Shared, mut out: impl Write) {
-    let mut told = 0;
+/// Writes queued lines to `out` in batches for the lifetime of the process. After lines were dropped, it logs their
+/// number once a batch has been written without an error.
+fn run_writer(shared: &Shared, mut out: impl Write) {
+    let mut reported = 0;
     loop {
         let lines = take_lines(shared);
         let failed = lines.iter().filter(|line| out.write_all(line).is_err()).count();
         shared.dropped.fetch_add(failed as u64, Ordering::Relaxed);
         let dropped = shared.dropped.load(Ordering::Relaxed);
-        if failed == 0 && dropped > told {
-            warn!(lines = dropped - told, "lines of the log were dropped");
-            told = dropped;
+        if failed == 0 && dropped > reported {
+            warn!(lines = dropped - reported, "log lines were dropped");
+            reported = dropped;
         }
-        let mut waiting = shared.waiting();
-        waiting.being_written = false;
-        if waiting.lines.is_empty() {
+        let mut queued = shared.lock_queued();
+        queued.writing = false;
+        if queued.lines.is_empty() {
             shared.emptied.notify_all();
         }
     }
 }
 
-/// Waits until there are lines, and takes them all.
+/// Waits until lines are queued and takes them all.
 fn take_lines(shared: &Shared) -> VecDeque<Vec<u8>> {
-    let waiting = shared.waiting();
-    let waited = shared.added.wait_while(waiting, |waiting| waiting.lines.is_empty());
-    let mut waiting = waited.unwrap_or_else(PoisonError::into_inner);
-    waiting.being_written = true;
-    waiting.bytes = 0;
-    std::mem::take(&mut waiting.lines)
+    let queued = shared.lock_queued();
+    let woken = shared.line_added.wait_while(queued, |queued| queued.lines.is_empty());
+    let mut queued = woken.unwrap_or_else(PoisonError::into_inner);
+    queued.writing = true;
+    queued.bytes = 0;
+    std::mem::take(&mut queued.lines)
 }
 
-/// One line under way: the subscriber writes each with a single call.
+/// Queues each write as one line: the subscriber writes a line with a single call.
 impl Write for LogQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.push(line);
--- a/crates/whinhill-cli/src/main.rs
+++ b/crates/whinhill-cli/src/main.rs
@@ -1,10 +1,12 @@
-//! `whinhill`: runs an assigner, plays scripted days, checks configuration. No logic of its own.
+//! The `whinhill` binary: runs assigners, proxies and stand-ins, scripted days, soaks and benchmarks, and checks
+//! configuration files. The logic is in the library crates.
 
 mod bench;
 mod bench_decisions;
 mod bench_proxy;
 mod config;
 mod day;
+mod lifecycle;
 mod load;
 mod log_queue;
 mod logging;
@@ -12,10 +14,9 @@
 mod platform_soak;
 mod proxy;
 mod reports;
-mod soak;
 mod standin;
 mod table;
-mod until_stopped;
+mod table_soak;
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -28,19 +29,19 @@
 use whinhill_assigner::{Assigner, AssignerConfig, StartError};
 use whinhill_standins::day::Day;
 
-/// Exit codes: 0 well; 1 it failed while running; 2 wrong usage or configuration; 3 a rule was broken on a day.
+/// The command line. Exit codes: 0 success; 1 runtime failure; 2 usage or configuration error; 3 a rule was broken.
 #[derive(Parser)]
 #[command(
     name = "whinhill",
     version,
     about,
-    after_help = "Exit codes: 0 well, 1 failed while running, 2 wrong usage or configuration, 3 a rule was broken."
+    after_help = "Exit codes: 0 success, 1 runtime failure, 2 usage or configuration error, 3 a rule was broken."
 )]
 struct Cli {
-    /// How log lines are written, to standard error.
-    #[arg(long, global = true, value_enum, default_value_t = logging::Form::Text)]
-    log: logging::Form,
-    /// The least important lines to write: error, warn, info, debug, or targets with levels.
+    /// Format of the log, which goes to standard error.
+    #[arg(long, global = true, value_enum, default_value_t = logging::LogFormat::Text)]
+    log: logging::LogFormat,
+    /// Least severe level to log: error, warn, info, debug, or a list of targets with levels.
     #[arg(long, global = true, default_value = "info")]
     log_level: String,
     #[command(subcommand)]
@@ -53,13 +54,13 @@
     Assigner {
         #[arg(long, required_unless_present = "platform")]
         config: Option<PathBuf>,
-        /// Speak the operators' platform's protocol, as the file that BALANCER_CONFIG names tells.
+        /// Speak the protocol of the operators' platform, configured by the file that BALANCER_CONFIG names.
         #[arg(long, conflicts_with_all = ["config", "ready_file", "status_file"])]
         platform: bool,
-        /// The address that it listens on is written there once it does.
+        /// File to which the listen address is written once the process listens.
         #[arg(long)]
         ready_file: Option<PathBuf>,
-        /// A line of figures is written there each second; goes before the configuration.
+        /// File to which a line of figures is written each second; overrides the configuration.
         #[arg(long)]
         status_file: Option<PathBuf>,
     },
@@ -67,37 +68,37 @@
     Proxy {
         #[arg(long)]
         config: PathBuf,
-        /// The address that it listens on is written there once it does.
+        /// File to which the listen address is written once the process listens.
         #[arg(long)]
         ready_file: Option<PathBuf>,
     },
-    /// Run a stand-in by itself until SIGTERM or SIGINT.
+    /// Run a single stand-in until SIGTERM or SIGINT.
     Standin {
         #[command(subcommand)]
         command: standin::StandinCommand,
     },
-    /// Send RPCs at a set rate and measure how long they take.
+    /// Send RPCs at a fixed rate and measure their latency.
     Load(load::LoadArgs),
-    /// Versions of an assigner's tables, and the way back to an older one.
+    /// Inspect the versions of an assigner's tables and roll back to an older one.
     Table(table::TableArgs),
-    /// Look at what is known of load, or soak the intake of load reports.
+    /// Show an assigner's knowledge of load, or soak-test the processing of load reports.
     Reports(reports::ReportsArgs),
-    /// Scripted days on loopback.
+    /// Run scripted days on loopback.
     Day {
         #[command(subcommand)]
         command: day::DayCommand,
     },
-    /// The operators' platform, on stand-ins.
+    /// Run against stand-ins of the operators' platform.
     Platform {
         #[command(subcommand)]
         command: PlatformCommand,
     },
-    /// Measurements on loopback, printed as JSON lines.
+    /// Run benchmarks on loopback and print the figures as JSON lines.
     Bench {
         #[command(subcommand)]
         command: bench::BenchCommand,
     },
-    /// Look at configuration without starting anything.
+    /// Check configuration without starting anything.
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
@@ -106,49 +107,58 @@
 
 #[derive(Subcommand)]
 enum PlatformCommand {
-    /// Play assigners as processes through drawn troubles, and audit what clients and proxies met.
+    /// Run assigner processes under randomly drawn faults and audit what clients and proxies observed.
     Soak(platform_soak::SoakArgs),
 }
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Name every fault of a file.
+    /// Report every error of a configuration file.
     Check {
         file: PathBuf,
-        #[arg(long, value_enum, default_value_t = Kind::Assigner)]
-        kind: Kind,
+        #[arg(long, value_enum, default_value_t = ConfigKind::Assigner)]
+        kind: ConfigKind,
     },
-    /// Print the JSON schema of a kind of file.
+    /// Print the JSON schema of a kind of configuration file.
     Schema {
-        #[arg(value_enum, default_value_t = Kind::Assigner)]
-        kind: Kind,
+        #[arg(value_enum, default_value_t = ConfigKind::Assigner)]
+        kind: ConfigKind,
     },
 }
 
+/// Kind of a configuration file.
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum Kind {
+enum ConfigKind {
     Assigner,
     Proxy,
     Day,
 }
 
-/// Why a command ended badly; its exit code.
+/// Error of a command, which determines the exit code.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum CommandError {
+    /// Wrong arguments or an invalid configuration.
     #[error("{0}")]
     Usage(String),
+    /// The command failed while it ran.
     #[error("{0}")]
-    Running(String),
+    Runtime(String),
+    /// The run completed and a checked rule was broken.
     #[error("{0}")]
-    Rule(String),
+    RuleViolation(String),
 }
 
-impl Failed {
-    fn code(&self) -> u8 {
+impl CommandError {
+    /// Wraps any error as a runtime failure.
+    pub fn runtime(error: impl std::fmt::Display) -> Self {
+        CommandError::Runtime(error.to_string())
+    }
+
+    fn exit_code(&self) -> u8 {
         match self {
-            Failed::Running(_) => 1,
-            Failed::Usage(_) => 2,
-            Failed::Rule(_) => 3,
+            CommandError::Runtime(_) => 1,
+            CommandError::Usage(_) => 2,
+            CommandError::RuleViolation(_) => 3,
         }
     }
 }
@@ -157,29 +167,29 @@
     let cli = Cli::parse();
     let log = match logging::start(cli.log, &cli.log_level) {
         Ok(log) => log,
-        Err(failed) => {
-            // Where standard error fails too, the exit code is all there is.
-            let _ = writeln!(std::io::stderr(), "{failed}");
-            return ExitCode::from(failed.code());
+        Err(error) => {
+            // If writing to standard error fails too, only the exit code reports the failure.
+            let _ = writeln!(std::io::stderr(), "{error}");
+            return ExitCode::from(error.exit_code());
         }
     };
     match run(cli.command, &log) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failed) => {
-            error!("{failed}");
-            ExitCode::from(failed.code())
+        Err(error) => {
+            error!("{error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn run(command: Command, log: &Log) -> Result<(), Failed> {
+fn run(command: Command, log: &Log) -> Result<(), CommandError> {
     match command {
         Command::Assigner { platform: true, .. } => platform::run(log),
         Command::Assigner { config, ready_file, status_file, platform: false } => {
-            let config = config.ok_or_else(|| Failed::Usage("--config is missing".into()))?;
-            let mut config: AssignerConfig = config::read(&config, AssignerConfig::check)?;
+            let config = config.ok_or_else(|| CommandError::Usage("--config is missing".into()))?;
+            let mut config: AssignerConfig = config::read_file(&config, AssignerConfig::check)?;
             config.status_file = status_file.or(config.status_file);
-            assigner(config, ready_file)
+            run_assigner(config, ready_file)
         }
         Command::Proxy { config, ready_file } => proxy::run(&config, ready_file.as_deref()),
         Command::Standin { command } => standin::run(command),
@@ -191,39 +201,39 @@
         Command::Bench { command } => bench::run(command),
         Command::Config { command: ConfigCommand::Check { file, kind } } => {
             match kind {
-                Kind::Assigner => drop(config::read(&file, AssignerConfig::check)?),
-                Kind::Proxy => drop(config::read(&file, proxy::ProxyFile::check)?),
-                Kind::Day => drop(config::read(&file, Day::check)?),
+                ConfigKind::Assigner => drop(config::read_file(&file, AssignerConfig::check)?),
+                ConfigKind::Proxy => drop(config::read_file(&file, proxy::ProxyFile::check)?),
+                ConfigKind::Day => drop(config::read_file(&file, Day::check)?),
             }
-            println!("{}: no fault", file.display());
+            println!("{}: no errors", file.display());
             Ok(())
         }
         Command::Config { command: ConfigCommand::Schema { kind } } => {
             let schema = match kind {
-                Kind::Assigner => schemars::schema_for!(AssignerConfig),
-                Kind::Proxy => schemars::schema_for!(proxy::ProxyFile),
-                Kind::Day => schemars::schema_for!(Day),
+                ConfigKind::Assigner => schemars::schema_for!(AssignerConfig),
+                ConfigKind::Proxy => schemars::schema_for!(proxy::ProxyFile),
+                ConfigKind::Day => schemars::schema_for!(Day),
             };
-            let text =
-                serde_json::to_string_pretty(&schema).map_err(|error| Failed::Running(error.to_string()))?;
+            let text = serde_json::to_string_pretty(&schema).map_err(CommandError::runtime)?;
             println!("{text}");
             Ok(())
         }
     }
 }
 
-fn assigner(config: AssignerConfig, ready_file: Option<PathBuf>) -> Result<(), Failed> {
-    let stop = until_stopped::listen()?;
+/// Runs an assigner until SIGTERM or SIGINT.
+fn run_assigner(config: AssignerConfig, ready_file: Option<PathBuf>) -> Result<(), CommandError> {
+    let stop = lifecycle::stop_on_signal()?;
     let running = match Assigner::start_unless_stopped(config, &stop) {
         Ok(running) => running,
         Err(error @ (StartError::Config(_) | StartError::Settings(_))) => {
-            return Err(Failed::Usage(error.to_string()));
+            return Err(CommandError::Usage(error.to_string()));
         }
         Err(_) if stop.load(Ordering::Relaxed) => return Ok(()),
-        Err(error) => return Err(Failed::Running(error.to_string())),
+        Err(error) => return Err(CommandError::runtime(error)),
     };
-    until_stopped::say_ready(ready_file.as_deref(), running.addr(), &stop)?;
-    until_stopped::wait(&stop);
+    lifecycle::write_ready_file(ready_file.as_deref(), running.addr(), &stop)?;
+    lifecycle::wait_until_stopped(&stop);
     running.stop();
     Ok(())
 }
--- a/crates/whinhill-cli/src/proxy.rs
+++ b/crates/whinhill-cli/src/proxy.rs
@@ -1,4 +1,4 @@
-//! `whinhill proxy`: reads its configuration and runs it.
+//! `whinhill proxy`: reads a proxy's configuration and runs the proxy.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,134 +13,146 @@
 use whinhill_transport::{Drivers, Limits, Workers};
 use whinhill_xds::Variant;
 
-use crate::{config, until_stopped, Failed};
+use crate::{config, lifecycle, CommandError};
 
+/// Configuration file of a proxy.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyFile {
-    /// This proxy's name; no other may have it.
+    /// This proxy's unique name.
     pub id: String,
+    /// The zone in which the proxy runs.
     pub zone: String,
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// The same as the assigners'.
+    /// The service, with the same values as in the assigners' configuration.
     pub service: ServiceConfig,
-    pub assigners: Vec<AssignerAt>,
-    /// Whether tables come as state of the world; incremental otherwise.
+    /// The assigners to which the proxy connects.
+    pub assigners: Vec<AssignerAddress>,
+    /// Whether to receive tables with the state-of-the-world variant of xDS instead of the incremental one.
     #[serde(default)]
     pub state_of_the_world: bool,
-    /// How it picks among a slice's lines.
+    /// How to pick among the lines of a slice.
     #[serde(default)]
     pub pick: Pick,
-    /// Connections to one server.
+    /// Limits and times of the connection pool.
     #[serde(default)]
     pub pool: PoolLimits,
-    /// Bytes of one message.
-    #[serde(default = "message_most")]
+    /// Maximum bytes of one message.
+    #[serde(default = "default_max_message")]
     pub message_most: usize,
-    /// Bytes of a request's or an answer's body, all messages together.
-    #[serde(default = "body_most")]
+    /// Maximum bytes of a request's or an answer's body, all messages together.
+    #[serde(default = "default_max_body")]
     pub body_most: u64,
-    /// Bytes of an RPC's headers, as HTTP/2 counts them.
-    #[serde(default = "headers_most")]
+    /// Maximum bytes of an RPC's headers, as HTTP/2 counts them.
+    #[serde(default = "default_max_headers")]
     pub headers_most: u32,
-    /// RPCs in hand at a time; what is over is pushed back at once.
-    #[serde(default = "in_hand_most")]
+    /// Maximum RPCs in flight; RPCs above this are pushed back at once.
+    #[serde(default = "default_max_in_flight")]
     pub in_hand_most: usize,
-    /// Threads that turn connections.
-    #[serde(default = "drivers")]
+    /// Number of threads that drive connections.
+    #[serde(default = "default_drivers")]
     pub drivers: usize,
+    /// Seed of the proxy's random choices.
     #[serde(default)]
     pub seed: u64,
-    /// A line of figures is written there five times a second.
+    /// File to which a line of figures is written five times a second.
     #[serde(default)]
     pub status_file: Option<PathBuf>,
 }
 
+/// Name and address of an assigner.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct AssignerAt {
+#[schemars(rename = "AssignerAt")]
+pub struct AssignerAddress {
     pub name: String,
     pub addr: SocketAddr,
 }
 
-fn message_most() -> usize {
+fn default_max_message() -> usize {
     4 << 20
 }
 
-fn body_most() -> u64 {
+fn default_max_body() -> u64 {
     64 << 20
 }
 
-fn headers_most() -> u32 {
+fn default_max_headers() -> u32 {
     16 << 10
 }
 
-fn in_hand_most() -> usize {
+fn default_max_in_flight() -> usize {
     2048
 }
 
-fn drivers() -> usize {
+fn default_drivers() -> usize {
     2
 }
 
 impl ProxyFile {
+    /// Returns all errors of the configuration.
     pub fn check(&self) -> Vec<Fault> {
-        let mut faults = Vec::new();
-        let mut must = |holds: bool, path: &str, what: &str| {
-            if !holds {
-                faults.push(Fault { path: path.to_string(), what: what.to_string() });
+        let mut errors = Vec::new();
+        let mut require = |valid: bool, path: &str, message: &str| {
+            if !valid {
+                errors.push(Fault { path: path.to_string(), what: message.to_string() });
             }
         };
-        must(!self.id.is_empty() && self.id.len() <= 200, "id", "1 to 200 bytes are expected");
-        must(!self.assigners.is_empty(), "assigners", "one at least is expected");
-        must((1..=65_534).contains(&self.service.slices), "service.slices", "1 to 65534 are expected");
-        must(!self.service.methods.is_empty(), "service.methods", "one at least is expected");
-        must((1..=65_536).contains(&self.in_hand_most), "in_hand_most", "1 to 65536 is expected");
-        must((1..=1 << 30).contains(&self.message_most), "message_most", "1 to 1073741824 is expected");
-        must(self.body_most >= self.message_most as u64, "body_most", "must not be under message_most");
-        must((1024..=1 << 20).contains(&self.headers_most), "headers_most", "1024 to 1048576 is expected");
+        require(!self.id.is_empty() && self.id.len() <= 200, "id", "expected 1 to 200 bytes");
+        require(!self.assigners.is_empty(), "assigners", "expected at least one");
+        require((1..=65_534).contains(&self.service.slices), "service.slices", "expected 1 to 65534");
+        require(!self.service.methods.is_empty(), "service.methods", "expected at least one");
+        require((1..=65_536).contains(&self.in_hand_most), "in_hand_most", "expected 1 to 65536");
+        require((1..=1 << 30).contains(&self.message_most), "message_most", "expected 1 to 1073741824");
+        require(
+            self.body_most >= self.message_most as u64,
+            "body_most",
+            "must not be less than message_most",
+        );
+        require((1024..=1 << 20).contains(&self.headers_most), "headers_most", "expected 1024 to 1048576");
         let pool = &self.pool;
-        let places = 1..=1024;
-        must(places.contains(&pool.connections_most), "pool.connections_most", "1 to 1024 is expected");
-        must(
+        let pool_range = 1..=1024;
+        require(pool_range.contains(&pool.connections_most), "pool.connections_most", "expected 1 to 1024");
+        require(
             (pool.connections_most..=1_000_000).contains(&pool.all_most),
             "pool.all_most",
-            "connections_most to 1000000 is expected",
+            "expected connections_most to 1000000",
         );
-        must(places.contains(&pool.streams_most), "pool.streams_most", "1 to 1024 is expected");
-        must(
+        require(pool_range.contains(&pool.streams_most), "pool.streams_most", "expected 1 to 1024");
+        require(
             (1..=pool.streams_most).contains(&pool.streams_first),
             "pool.streams_first",
-            "1 to streams_most is expected",
+            "expected 1 to streams_most",
         );
-        must(
+        require(
             (1..=60_000).contains(&pool.connect_within_ms),
             "pool.connect_within_ms",
-            "1 to 60000 is expected",
+            "expected 1 to 60000",
         );
-        must(pool.idle_ms >= 100, "pool.idle_ms", "100 at least is expected");
-        must(
+        require(pool.idle_ms >= 100, "pool.idle_ms", "expected at least 100");
+        require(
             pool.again_after_ms >= 1 && pool.again_after_ms <= pool.again_after_most_ms,
             "pool.again_after_ms",
-            "1 to again_after_most_ms is expected",
+            "expected 1 to again_after_most_ms",
         );
-        must((1..=64).contains(&self.drivers), "drivers", "1 to 64 is expected");
-        faults
+        require((1..=64).contains(&self.drivers), "drivers", "expected 1 to 64");
+        errors
     }
 }
 
-pub fn run(path: &Path, ready_file: Option<&Path>) -> Result<(), Failed> {
-    let file: ProxyFile = config::read(path, ProxyFile::check)?;
-    let stop = until_stopped::listen()?;
-    let failed = |error: &dyn std::fmt::Display| Failed::Running(error.to_string());
-    let drivers = Drivers::start(&file.id, file.drivers).map_err(|error| failed(&error))?;
+/// Runs the proxy until SIGTERM or SIGINT.
+pub fn run(path: &Path, ready_file: Option<&Path>) -> Result<(), CommandError> {
+    let file: ProxyFile = config::read_file(path, ProxyFile::check)?;
+    let stop = lifecycle::stop_on_signal()?;
+    let drivers = Drivers::start(&file.id, file.drivers).map_err(CommandError::runtime)?;
     let workers = Workers::new("rpc", file.in_hand_most, whinhill_transport::CALL_STACK);
     let config = ProxyConfig {
         id: file.id,
         zone: file.zone,
         listen: file.listen,
         service: Arc::new(file.service.service()),
-        assigners: file.assigners.into_iter().map(|a| (a.name, a.addr)).collect(),
+        assigners: file.assigners.into_iter().map(|assigner| (assigner.name, assigner.addr)).collect(),
         variant: if file.state_of_the_world { Variant::StateOfTheWorld } else { Variant::Incremental },
         settle: Duration::from_millis(file.service.settle_ms),
         limits: Limits {
@@ -155,19 +167,19 @@
         pick: file.pick,
         sabotage: Sabotage::default(),
     };
-    let mut proxy = Proxy::start(config, &drivers, &workers).map_err(|error| failed(&error))?;
+    let mut proxy = Proxy::start(config, &drivers, &workers).map_err(CommandError::runtime)?;
     if let Some(addr) = proxy.addr() {
-        tracing::info!(id = proxy.id(), %addr, "proxy listens");
-        until_stopped::say_ready(ready_file, addr, &stop)?;
+        tracing::info!(id = proxy.id(), %addr, "proxy listening");
+        lifecycle::write_ready_file(ready_file, addr, &stop)?;
     }
     let Some(path) = file.status_file else {
-        until_stopped::wait(&stop);
+        lifecycle::wait_until_stopped(&stop);
         drain(&mut proxy);
         return Ok(());
     };
-    let status = StatusFile::start(&path).map_err(|error| failed(&error))?;
+    let status = StatusFile::start(&path).map_err(CommandError::runtime)?;
     loop {
-        let stopped = until_stopped::wait_for(&stop, Duration::from_millis(200));
+        let stopped = lifecycle::wait_for(&stop, Duration::from_millis(200));
         let line = serde_json::to_string(&ProxyFigures::of(&proxy)).unwrap_or_default();
         status.write(line);
         if stopped {
@@ -177,8 +189,8 @@
     }
 }
 
-/// RPCs in hand finish before the process ends.
+/// Waits for RPCs in flight before the process ends, and logs how many were left.
 fn drain(proxy: &mut Proxy) {
     let left = proxy.drain();
-    tracing::info!(id = proxy.id(), left, "proxy ends");
+    tracing::info!(id = proxy.id(), left, "proxy stopped");
 }
--- a/crates/whinhill-cli/src/reports.rs
+++ b/crates/whinhill-cli/src/reports.rs
@@ -1,6 +1,6 @@
-//! `whinhill reports`: what a running assigner knows of load, and the soak of its intake.
+//! `whinhill reports`: shows the state of a running assigner's load reports, and soak-tests their processing.
 
-mod former;
+mod baseline;
 mod soak;
 
 use std::net::SocketAddr;
@@ -9,8 +9,9 @@
 use whinhill_assigner::{Answer, Ask, ReportsAnswer};
 use whinhill_transport::Drivers;
 
-use crate::Failed;
+use crate::CommandError;
 
+/// Arguments of `whinhill reports`.
 #[derive(Args)]
 pub struct ReportsArgs {
     #[command(subcommand)]
@@ -19,68 +20,73 @@
 
 #[derive(Subcommand)]
 enum ReportsCommand {
-    /// What is known of load, and by whom: lag, budget, what was merged, doubted or thinned.
+    /// Show the state of load reports: coverage, lag, budget, and counts of held, rejected and downsampled tries.
     Show {
-        /// Where the assigner listens to operators.
+        /// Address on which the assigner listens for operators.
         #[arg(long)]
         at: SocketAddr,
-        /// Proxies to list, the worst first.
+        /// Number of proxies to list, the worst first.
         #[arg(long, default_value_t = 20)]
         most: usize,
+        /// Print the answer as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Simulated proxies over real streams, through a script of hard cases; the former intake beside it.
+    /// Run simulated proxies over real streams through scripted failures, with the baseline intake for comparison.
     Soak(soak::SoakArgs),
 }
 
-pub fn run(args: ReportsArgs) -> Result<(), Failed> {
+/// Runs a sub-command of `whinhill reports`.
+pub fn run(args: ReportsArgs) -> Result<(), CommandError> {
     let (at, most, json) = match args.command {
         ReportsCommand::Soak(args) => return soak::run(&args),
         ReportsCommand::Show { at, most, json } => (at, most, json),
     };
-    let failed = |error: &dyn std::fmt::Display| Failed::Running(error.to_string());
-    let drivers = Drivers::start("reports", 1).map_err(|error| failed(&error))?;
-    let answer = whinhill_assigner::ask(at, &Ask::Reports, &drivers).map_err(|error| failed(&error))?;
+    let drivers = Drivers::start("reports", 1).map_err(CommandError::runtime)?;
+    let answer = whinhill_assigner::ask(at, &Ask::Reports, &drivers).map_err(CommandError::runtime)?;
     match answer {
         Answer::Reports(answer) if json => {
-            println!("{}", serde_json::to_string(&answer).map_err(|error| failed(&error))?);
+            println!("{}", serde_json::to_string(&answer).map_err(CommandError::runtime)?);
         }
-        Answer::Reports(answer) => print(&answer, most),
-        Answer::Refused(why) => return Err(Failed::Running(why)),
-        other => return Err(Failed::Running(format!("an answer to something else: {other:?}"))),
+        Answer::Reports(answer) => print_status(&answer, most),
+        Answer::Refused(why) => return Err(CommandError::Runtime(why)),
+        other => return Err(CommandError::Runtime(format!("unexpected answer: {other:?}"))),
     }
     Ok(())
 }
 
-fn print(a: &ReportsAnswer, most: usize) {
-    let state = if a.blind { "; too little for anything to be decided on" } else { "" };
-    println!("heard {:.1}% of the expected load{state}", a.heard * 100.0);
-    println!("lag of proxies: {} ms in the middle, {} ms at most", a.lag_ms_middle, a.lag_ms_most);
+/// Prints the state of load reports, and at most `most` proxies.
+fn print_status(status: &ReportsAnswer, most: usize) {
+    let coverage_note = if status.blind { "; too little to decide on" } else { "" };
+    println!("reported: {:.1}% of the expected load{coverage_note}", status.heard * 100.0);
+    println!("lag of proxies: median {} ms, max {} ms", status.lag_ms_middle, status.lag_ms_most);
     println!(
-        "lines at the last turn: {} ready, {} given, {} known too badly yet; error at most {:.1}%",
-        a.lines_ready,
-        a.lines_given,
-        a.lines_unsure,
-        a.error_most * 100.0
+        "lines in the last period: {} ready, {} output, {} held back as too uncertain; max error {:.1}%",
+        status.lines_ready,
+        status.lines_given,
+        status.lines_unsure,
+        status.error_most * 100.0
     );
-    let share = |count: u64| count as f64 * 100.0 / a.offered.max(1) as f64;
+    let share = |count: u64| count as f64 * 100.0 / status.offered.max(1) as f64;
     println!(
-        "tries told {}: given {:.2}%, waiting {:.2}%, late {:.2}%, repeated {:.2}%, doubted {:.2}%, of others' slices {:.2}%{}",
-        a.offered,
-        share(a.given),
-        share(a.waiting),
-        share(a.late),
-        share(a.repeated),
-        share(a.doubted),
-        share(a.foreign),
-        if a.conserved { "" } else { "; THEY DO NOT ADD UP" }
+        "tries reported {}: output {:.2}%, waiting {:.2}%, late {:.2}%, repeated {:.2}%, doubted {:.2}%, of slices held by others {:.2}%{}",
+        status.offered,
+        share(status.given),
+        share(status.waiting),
+        share(status.late),
+        share(status.repeated),
+        share(status.doubted),
+        share(status.foreign),
+        if status.conserved { "" } else { "; THE COUNTS DO NOT ADD UP" }
     );
     println!(
-        "{} reports, {} thinned, {} with a stretch that could not be; {} lines that nobody could make out",
-        a.reports, a.thinned, a.mended, a.strange
+        "{} reports, {} downsampled, {} with an impossible interval; {} unresolved lines",
+        status.reports, status.thinned, status.mended, status.strange
     );
-    for p in a.proxies.iter().take(most) {
-        println!("{} {}, {} ms late, {:.1} tries a second", p.proxy, p.hearing, p.late_ms, p.tries_per_s);
+    for proxy in status.proxies.iter().take(most) {
+        println!(
+            "{} {}, {} ms late, {:.1} tries a second",
+            proxy.proxy, proxy.hearing, proxy.late_ms, proxy.tries_per_s
+        );
     }
 }
--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -1,7 +1,8 @@
-//! Simulated proxies report over real streams what they would have met, through a script of hard cases. What the
-//! module would be told is held against what is true; the former intake, oldest first, takes the same reports.
+//! `whinhill reports soak`: simulated proxies send load reports over real streams, through a script of failures. The
+//! lines that the module would get are compared with the true load; a baseline intake, which outputs the oldest sums
+//! first, gets the same reports.
 //!
-//! Counts are even, with a phase of its own for each proxy and slice, so that what swings was not drawn.
+//! Loads are constant, with a phase for each proxy and slice, so that deviations are not due to random counts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
 use serde::Serialize;
 use whinhill::interface::{Ep, Event};
 use whinhill_assigner::{event, process_figures_of, read_report, Names};
-use whinhill_reports::{Hearing, Intake, Key, Limits as Intaking};
+use whinhill_reports::{Hearing, Intake, Key, Limits as IntakeLimits};
 use whinhill_transport::{
     Client, Code, Drivers, Limits, Listener, MessageWriter, PendingAnswer, ServerCall, Trailers, Workers,
 };
@@ -28,66 +29,91 @@
 use whinhill_xds::proto::{self, span};
 use whinhill_xds::LRS_PATH;
 
-use super::former;
-use crate::Failed;
+use super::baseline::BaselineIntake;
+use crate::CommandError;
 
+/// Arguments of `whinhill reports soak`.
 #[derive(Args)]
 pub struct SoakArgs {
+    /// Number of proxies.
     #[arg(long, default_value_t = 500)]
     proxies: usize,
+    /// Number of servers.
     #[arg(long, default_value_t = 143)]
     servers: usize,
+    /// Number of slices.
     #[arg(long, default_value_t = 900)]
     slices: usize,
-    /// Slices that each proxy tells of.
+    /// Number of slices that each proxy reports.
     #[arg(long, default_value_t = 100)]
     tells: usize,
-    /// Between two reports of a proxy. The script takes 170 of them.
+    /// Time between two reports of a proxy. The script takes 170 periods.
     #[arg(long, default_value_t = 500)]
     period_ms: u64,
+    /// Maximum lines per second to the module.
     #[arg(long, default_value_t = 1200)]
     lines_per_s: u32,
-    /// RPCs a second in all.
+    /// RPCs per second, in total.
     #[arg(long, default_value_t = 400_000.0)]
     rate: f64,
+    /// Seed of the choice of slices and of the intake.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Only the object.
+    /// Print only the JSON object.
     #[arg(long)]
     json: bool,
 }
 
-/// The script, in periods since the start.
-const STEADY: u64 = 25;
-const BACKLOG: (u64, u64) = (25, 85);
-const CUT: (u64, u64) = (105, 114);
-const LIAR: (u64, u64) = (125, 129);
-const SILENT: (u64, u64) = (140, 155);
+/// A phase of the script, in periods since the start: from the period after `after` to `last`.
+#[derive(Clone, Copy)]
+struct Phase {
+    after: u64,
+    last: u64,
+}
+
+impl Phase {
+    fn contains(self, period: u64) -> bool {
+        self.after < period && period <= self.last
+    }
+}
+
+/// Last period before the failures begin; deviations are measured from 8 periods earlier.
+const STEADY_FROM: u64 = 25;
+/// Proxy 9 sends no reports, then all of them at once.
+const BACKLOG: Phase = Phase { after: 25, last: 85 };
+/// Every third proxy is disconnected.
+const CUT: Phase = Phase { after: 105, last: 114 };
+/// Proxy 7 reports a hundred times its tries.
+const LIAR: Phase = Phase { after: 125, last: 129 };
+/// A tenth of the proxies sends no reports.
+const SILENT: Phase = Phase { after: 140, last: 155 };
+/// Last period of the script.
 const END: u64 = 170;
-/// How long after an event weights may still be off, in periods.
-const AFTER: u64 = 10;
-/// The module's picture forgets by this much a line, as its measures do.
-const NEW: f64 = 0.3;
+/// Periods after a phase during which deviations are attributed to it.
+const RECOVERY_PERIODS: u64 = 10;
+/// Weight of a new line in the smoothed rates, as in the module's own estimates.
+const SMOOTHING_FACTOR: f64 = 0.3;
 
-/// How one intake did.
+/// Figures of one intake.
 #[derive(Debug, Default, Serialize)]
 struct Figures {
     lines_to_module_most_per_s: f64,
-    /// The furthest that any server's share of the load went from the truth, by event.
+    /// Largest relative deviation of any server's share of the load from the truth: in all, and by phase.
     weight_swing_most: f64,
     swing_steady: f64,
     swing_backlog: f64,
     swing_cut: f64,
     swing_liar: f64,
     swing_silent: f64,
-    /// The furthest that the whole load went from the truth while a tenth was silent.
+    /// Largest relative deviation of the total load from the truth while a tenth of the proxies was silent.
     silent_total_off: f64,
-    /// The longest time after an event until all shares were within 5% for good, in milliseconds.
+    /// Longest time after a phase, in milliseconds, until all shares stayed within 5% of the truth.
     settled_ms: f64,
 }
 
+/// Results of the soak, as they are printed.
 #[derive(Debug, Serialize)]
-struct Soaked {
+struct SoakReport {
     proxies: usize,
     servers: usize,
     reports: u64,
@@ -99,7 +125,8 @@
     silent_read_as_idle: u64,
     memory_mb: f64,
     p99_intake_ms: f64,
-    /// Processor time of the whole run, proxies and all, in cores; and of the deciding thread alone.
+    /// Processor time of the whole process, including the proxies, in cores; and the share of time that the intake
+    /// thread was busy, without the baseline's adding of reports.
     cores: f64,
     deciding_share: f64,
     ledger: String,
@@ -107,35 +134,35 @@
     oldest_first: Figures,
 }
 
-enum Heard {
+/// An event of a proxy's stream; a report has the time at which it was received.
+enum StreamEvent {
     Opened(usize),
     Closed(usize),
     Report(usize, Instant, Box<proto::LoadStatsRequest>),
 }
 
-/// What the module would hold of the load, by its lines alone.
+/// The load as the module would estimate it from its lines alone.
 #[derive(Default)]
-struct Picture {
+struct ModuleView {
     rates: BTreeMap<Key, f64>,
     figures: Figures,
+    /// Times at which lines were output, and their numbers.
     lines: Vec<(Duration, usize)>,
 }
 
-fn failed(error: &dyn std::fmt::Display) -> Failed {
-    Failed::Running(error.to_string())
-}
-
-struct Fleet {
+/// The simulated proxies and their load.
+struct SimulatedFleet {
     service: Service,
-    args: Settings,
-    /// For each proxy the slices that it tells of, with the RPCs a period of each.
-    tells: Vec<Vec<(usize, f64)>>,
-    /// The true share of each server.
-    truth: Vec<f64>,
+    settings: FleetSettings,
+    /// By proxy: the slices that it reports, with the RPCs per period of each.
+    rates: Vec<Vec<(usize, f64)>>,
+    /// Each server's true share of the load.
+    true_shares: Vec<f64>,
 }
 
+/// Parameters of the simulated fleet.
 #[derive(Clone, Copy)]
-struct Settings {
+struct FleetSettings {
     proxies: usize,
     servers: usize,
     period: Duration,
@@ -148,7 +175,7 @@
     format!("127.1.{}.{}:7000", server / 250, server % 250 + 1)
 }
 
-impl Fleet {
+impl SimulatedFleet {
     fn new(args: &SoakArgs) -> Self {
         let method = Method {
             name: "look".into(),
@@ -167,21 +194,23 @@
             try_factor: 1.0,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
-        let a_period = args.rate * args.period_ms as f64 / 1e3;
-        let (mut tells, mut truth) = (Vec::new(), vec![0.0; args.servers]);
+        let rpcs_per_period = args.rate * args.period_ms as f64 / 1e3;
+        let (mut rates, mut true_shares) = (Vec::new(), vec![0.0; args.servers]);
         for proxy in 0..args.proxies {
             let mut slices: Vec<(usize, f64)> = sample(&mut rng, args.slices - 1, args.tells)
                 .iter()
-                .map(|slice| (slice + 1, a_period * 0.72 / (args.proxies * args.tells) as f64))
+                .map(|slice| (slice + 1, rpcs_per_period * 0.72 / (args.proxies * args.tells) as f64))
                 .collect();
-            // Slice 0 carries 28% of all, from five proxies only.
+            // Slice 0 gets 28% of the load, from five proxies only.
             if proxy < 5 {
-                slices.push((0, a_period * 0.28 / 5.0));
+                slices.push((0, rpcs_per_period * 0.28 / 5.0));
             }
-            slices.iter().for_each(|(slice, rate)| truth[slice % args.servers] += rate / a_period);
-            tells.push(slices);
+            slices
+                .iter()
+                .for_each(|(slice, rate)| true_shares[slice % args.servers] += rate / rpcs_per_period);
+            rates.push(slices);
         }
-        let args = Settings {
+        let settings = FleetSettings {
             proxies: args.proxies,
             servers: args.servers,
             period: Duration::from_millis(args.period_ms),
@@ -189,32 +218,34 @@
             seed: args.seed,
             rate: args.rate,
         };
-        Fleet { service, args, tells, truth }
+        SimulatedFleet { service, settings, rates, true_shares }
     }
 
-    /// What a proxy met in `periods` that end with the `at`th, times over.
+    /// A report of a proxy for the `periods` that end with `period`, with its tries multiplied by `factor`.
     fn report(
         &self,
         proxy: usize,
-        at: u64,
+        period: u64,
         periods: u64,
-        times: f64,
-        stretch: Duration,
+        factor: f64,
+        interval: Duration,
     ) -> proto::LoadStatsRequest {
         let phase = |slice: usize| {
-            let mixed = (proxy as u64 * 1_000_003 + slice as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            (mixed >> 11) as f64 / (1u64 << 53) as f64
+            let hash = (proxy as u64 * 1_000_003 + slice as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            (hash >> 11) as f64 / (1u64 << 53) as f64
         };
-        let clusters = self.tells[proxy].iter().filter_map(|(slice, rate)| {
-            let upto = |at: u64| (rate * times * at as f64 + phase(*slice)).floor() as u64;
-            let tries = upto(at) - upto(at.saturating_sub(periods));
-            (tries > 0).then(|| self.cluster(*slice, &server_name(slice % self.args.servers), tries, stretch))
+        let clusters = self.rates[proxy].iter().filter_map(|(slice, rate)| {
+            let total_until = |period: u64| (rate * factor * period as f64 + phase(*slice)).floor() as u64;
+            let tries = total_until(period) - total_until(period.saturating_sub(periods));
+            (tries > 0)
+                .then(|| self.cluster(*slice, &server_name(slice % self.settings.servers), tries, interval))
         });
         proto::LoadStatsRequest { node: None, cluster_stats: clusters.collect() }
     }
 
-    fn cluster(&self, slice: usize, server: &str, tries: u64, stretch: Duration) -> proto::ClusterStats {
-        let met = proto::UpstreamEndpointStats {
+    /// The statistics of one slice and server in a report.
+    fn cluster(&self, slice: usize, server: &str, tries: u64, interval: Duration) -> proto::ClusterStats {
+        let endpoint = proto::UpstreamEndpointStats {
             address: Some(address(server)),
             total_issued_requests: tries,
             total_successful_requests: tries,
@@ -228,360 +259,380 @@
         proto::ClusterStats {
             cluster_name: self.service.cluster_name(slice, 0),
             upstream_locality_stats: vec![proto::UpstreamLocalityStats {
-                upstream_endpoint_stats: vec![met],
+                upstream_endpoint_stats: vec![endpoint],
                 total_issued_requests: tries,
                 total_successful_requests: tries,
                 ..Default::default()
             }],
-            load_report_interval: Some(span(stretch)),
+            load_report_interval: Some(span(interval)),
             ..Default::default()
         }
     }
 
-    fn silent(&self, proxy: usize, at: u64) -> bool {
-        let within = |(from, to): (u64, u64)| from < at && at <= to;
-        (proxy == 9 && within(BACKLOG)) || (proxy % 10 == 4 && within(SILENT))
+    fn is_silent(&self, proxy: usize, period: u64) -> bool {
+        (proxy == 9 && BACKLOG.contains(period)) || (proxy % 10 == 4 && SILENT.contains(period))
     }
 
-    fn cut(&self, proxy: usize, at: u64) -> bool {
-        proxy.is_multiple_of(3) && CUT.0 < at && at <= CUT.1
+    fn is_cut_off(&self, proxy: usize, period: u64) -> bool {
+        proxy.is_multiple_of(3) && CUT.contains(period)
     }
 
-    /// What a proxy sends at the end of a period.
-    fn script(&self, proxy: usize, at: u64) -> Vec<proto::LoadStatsRequest> {
-        let period = self.args.period;
-        if self.silent(proxy, at) || self.cut(proxy, at) {
+    /// The reports that a proxy sends at the end of a period.
+    fn script(&self, proxy: usize, period: u64) -> Vec<proto::LoadStatsRequest> {
+        let interval = self.settings.period;
+        if self.is_silent(proxy, period) || self.is_cut_off(proxy, period) {
             return Vec::new();
         }
-        let one = |at| self.report(proxy, at, 1, 1.0, period);
-        match (proxy, at) {
-            // A minute's worth of ordinary reports at once.
-            (9, at) if at == BACKLOG.1 + 1 => (BACKLOG.0 + 1..=at).map(one).collect(),
-            (7, at) if LIAR.0 < at && at <= LIAR.1 => vec![self.report(proxy, at, 1, 100.0, period)],
-            // Stretches of nothing and of an hour.
-            (11, 60..70) => vec![self.report(proxy, at, 1, 1.0, Duration::ZERO)],
-            (12, 60..70) => vec![self.report(proxy, at, 1, 1.0, Duration::from_secs(3600))],
-            // Ten thousand names of servers that nobody has heard of.
+        let ordinary = |period| self.report(proxy, period, 1, 1.0, interval);
+        match (proxy, period) {
+            // All reports of the backlog at once.
+            (9, period) if period == BACKLOG.last + 1 => (BACKLOG.after + 1..=period).map(ordinary).collect(),
+            (7, period) if LIAR.contains(period) => vec![self.report(proxy, period, 1, 100.0, interval)],
+            // Intervals of zero and of an hour.
+            (11, 60..70) => vec![self.report(proxy, period, 1, 1.0, Duration::ZERO)],
+            (12, 60..70) => vec![self.report(proxy, period, 1, 1.0, Duration::from_secs(3600))],
+            // Ten thousand unknown servers.
             (13, 70) => {
-                let strange =
-                    |k: usize| self.cluster(1, &format!("127.2.{}.{}:1", k / 250, k % 250 + 1), 1, period);
+                let unknown_server = |index: usize| {
+                    self.cluster(1, &format!("127.2.{}.{}:1", index / 250, index % 250 + 1), 1, interval)
+                };
                 vec![proto::LoadStatsRequest {
                     node: None,
-                    cluster_stats: (0..10_000).map(strange).collect(),
+                    cluster_stats: (0..10_000).map(unknown_server).collect(),
                 }]
             }
-            // The first one after a cut tells of all of it.
-            (proxy, at) if self.cut(proxy, at - 1) => {
-                let periods = at - CUT.0;
-                vec![self.report(proxy, at, periods, 1.0, period * periods as u32)]
+            // The first report after a disconnection covers all of it.
+            (proxy, period) if self.is_cut_off(proxy, period - 1) => {
+                let periods = period - CUT.after;
+                vec![self.report(proxy, period, periods, 1.0, interval * periods as u32)]
             }
-            (proxy, at) if self.silent(proxy, at - 1) => {
-                let periods = at - SILENT.0;
-                vec![self.report(proxy, at, periods, 1.0, period * periods as u32)]
+            (proxy, period) if self.is_silent(proxy, period - 1) => {
+                let periods = period - SILENT.after;
+                vec![self.report(proxy, period, periods, 1.0, interval * periods as u32)]
             }
-            _ => vec![one(at)],
+            _ => vec![ordinary(period)],
         }
     }
 }
 
-/// Takes in reports as the assigner's streams do.
-fn listen(drivers: &Drivers, workers: &Workers, to: Sender<Heard>) -> std::io::Result<Listener> {
+/// Starts a listener that passes reports on, as the assigner's streams do.
+fn start_listener(
+    drivers: &Drivers,
+    workers: &Workers,
+    events: Sender<StreamEvent>,
+) -> std::io::Result<Listener> {
     let workers = workers.clone();
-    // Longer than any silence of the script.
-    let within = Duration::from_secs(600);
-    let serve = move |call: ServerCall, to: Sender<Heard>| {
+    // Longer than any pause of the script.
+    let timeout = Duration::from_secs(600);
+    let serve = move |call: ServerCall, events: Sender<StreamEvent>| {
         let Ok((mut reader, mut writer)) = call.open() else { return };
-        let first = reader.recv(within).ok().flatten();
+        let first = reader.recv(timeout).ok().flatten();
         let first = first.and_then(|first| proto::LoadStatsRequest::decode(first).ok());
-        let Some(proxy) = first.and_then(|f| f.node).and_then(|node| node.id.parse::<usize>().ok()) else {
+        let Some(proxy) =
+            first.and_then(|request| request.node).and_then(|node| node.id.parse::<usize>().ok())
+        else {
             return;
         };
-        let _ = to.send(Heard::Opened(proxy));
-        while let Ok(Some(message)) = reader.recv(within) {
-            let came = Instant::now();
+        let _ = events.send(StreamEvent::Opened(proxy));
+        while let Ok(Some(message)) = reader.recv(timeout) {
+            let received_at = Instant::now();
             let Ok(report) = proto::LoadStatsRequest::decode(message) else { break };
-            if to.send(Heard::Report(proxy, came, Box::new(report))).is_err() {
+            if events.send(StreamEvent::Report(proxy, received_at, Box::new(report))).is_err() {
                 break;
             }
         }
-        let _ = to.send(Heard::Closed(proxy));
+        let _ = events.send(StreamEvent::Closed(proxy));
         let _ = writer.close(Code::Ok, "", Trailers::new());
     };
     let limits = Limits { message_most: 16 << 20, ..Limits::default() };
     Listener::start("soak", ([127, 0, 0, 1], 0).into(), limits, drivers, move |call| {
-        let to = to.clone();
-        workers.hand(call, move |call| serve(call, to), |call| call.refuse_unseen());
+        let events = events.clone();
+        workers.hand(call, move |call| serve(call, events), |call| call.refuse_unseen());
     })
 }
 
-/// Plays some of the proxies: each reports at its own moment of the period.
-fn proxies(
-    fleet: &Fleet,
-    which: &[usize],
-    at: SocketAddr,
+/// Runs some of the proxies; their reports are spread over the period.
+fn run_proxies(
+    fleet: &SimulatedFleet,
+    proxies: &[usize],
+    addr: SocketAddr,
     drivers: &Drivers,
     start: Instant,
-) -> Result<(), Failed> {
-    let within = Duration::from_secs(10);
+) -> Result<(), CommandError> {
+    let timeout = Duration::from_secs(10);
     let limits = Limits { message_most: 16 << 20, ..Limits::default() };
-    let client = Client::connect(at, limits, drivers).map_err(|error| failed(&error))?;
-    // The answer is kept with its stream: who drops it gives the call up.
-    let open = |proxy: usize| -> Result<(MessageWriter, PendingAnswer), Failed> {
-        let (mut writer, pending) = client.call(LRS_PATH, &[], within).map_err(|error| failed(&error))?;
+    let client = Client::connect(addr, limits, drivers).map_err(CommandError::runtime)?;
+    // The pending answer is kept with its stream: dropping it cancels the call.
+    let open = |proxy: usize| -> Result<(MessageWriter, PendingAnswer), CommandError> {
+        let (mut writer, pending) = client.call(LRS_PATH, &[], timeout).map_err(CommandError::runtime)?;
         let node = proto::Node { id: proxy.to_string(), ..Default::default() };
         let first = proto::LoadStatsRequest { node: Some(node), cluster_stats: Vec::new() };
-        writer.send(&first.encode_to_vec(), within).map_err(|error| failed(&error))?;
+        writer.send(&first.encode_to_vec(), timeout).map_err(CommandError::runtime)?;
         Ok((writer, pending))
     };
     let mut writers: BTreeMap<usize, (MessageWriter, PendingAnswer)> = BTreeMap::new();
     for period in 1..=END {
-        for (place, proxy) in which.iter().enumerate() {
-            let share = place as f64 / which.len() as f64;
-            let due = start + fleet.args.period.mul_f64(period as f64 - 1.0 + share);
+        for (index, proxy) in proxies.iter().enumerate() {
+            let phase = index as f64 / proxies.len() as f64;
+            let due = start + fleet.settings.period.mul_f64(period as f64 - 1.0 + phase);
             while let Some(left) = due.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
                 thread::park_timeout(left);
             }
-            if fleet.cut(*proxy, period) {
+            if fleet.is_cut_off(*proxy, period) {
                 writers.remove(proxy);
                 continue;
             }
             for report in fleet.script(*proxy, period) {
                 let (writer, _) = match writers.entry(*proxy) {
-                    std::collections::btree_map::Entry::Occupied(held) => held.into_mut(),
-                    std::collections::btree_map::Entry::Vacant(free) => free.insert(open(*proxy)?),
+                    std::collections::btree_map::Entry::Occupied(entry) => entry.into_mut(),
+                    std::collections::btree_map::Entry::Vacant(entry) => entry.insert(open(*proxy)?),
                 };
-                writer.send(&report.encode_to_vec(), within).map_err(|error| failed(&error))?;
+                writer.send(&report.encode_to_vec(), timeout).map_err(CommandError::runtime)?;
             }
         }
     }
     Ok(())
 }
 
-impl Picture {
-    fn take(&mut self, now: Duration, events: &[Event], truth: &[f64], period: u64, rate: f64) {
+impl ModuleView {
+    /// Updates the estimates with the lines of an output and notes the deviations from the truth.
+    fn update(&mut self, now: Duration, events: &[Event], true_shares: &[f64], period: u64, rate: f64) {
         self.lines.push((now, events.len()));
         for event in events {
             if let Event::Met { ep, zone, tries, span, .. } = event {
                 let rate = *tries as f64 / span.as_secs_f64().max(1e-3);
-                let held = self.rates.entry(Key::Met { server: ep.index, zone: *zone }).or_insert(rate);
-                *held += (rate - *held) * NEW;
+                let smoothed = self.rates.entry(Key::Met { server: ep.index, zone: *zone }).or_insert(rate);
+                *smoothed += (rate - *smoothed) * SMOOTHING_FACTOR;
             }
         }
-        // After the end proxies leave one by one, each at its moment.
-        if !(STEADY - 8..END).contains(&period) {
+        // After the end, proxies leave one by one.
+        if !(STEADY_FROM - 8..END).contains(&period) {
             return;
         }
-        let mut shares = vec![0.0; truth.len()];
-        let mut all = 0.0;
+        let mut shares = vec![0.0; true_shares.len()];
+        let mut total = 0.0;
         for (key, rate) in &self.rates {
             if let Key::Met { server, .. } = key {
                 shares[*server] += rate;
-                all += rate;
+                total += rate;
             }
         }
-        let off = |share: &f64, truth: &f64| (share / f64::max(all, 1e-9) / truth.max(1e-9) - 1.0).abs();
-        let swing = shares.iter().zip(truth).map(|(share, truth)| off(share, truth)).fold(0.0, f64::max);
+        let deviation =
+            |share: &f64, truth: &f64| (share / f64::max(total, 1e-9) / truth.max(1e-9) - 1.0).abs();
+        let swing =
+            shares.iter().zip(true_shares).map(|(share, truth)| deviation(share, truth)).fold(0.0, f64::max);
         let figures = &mut self.figures;
-        let by_event = [
+        let swings_by_phase = [
             (BACKLOG, &mut figures.swing_backlog),
             (CUT, &mut figures.swing_cut),
             (LIAR, &mut figures.swing_liar),
             (SILENT, &mut figures.swing_silent),
         ];
-        let mut calm = true;
-        for ((from, to), most) in by_event {
-            if from <= period && period <= to + AFTER {
-                *most = most.max(swing);
-                calm = false;
+        let mut steady = true;
+        for (phase, max_swing) in swings_by_phase {
+            if phase.after <= period && period <= phase.last + RECOVERY_PERIODS {
+                *max_swing = max_swing.max(swing);
+                steady = false;
             }
         }
-        if calm {
+        if steady {
             figures.swing_steady = figures.swing_steady.max(swing);
         }
         figures.weight_swing_most = figures.weight_swing_most.max(swing);
-        if SILENT.0 + 2 < period && period <= SILENT.1 {
-            figures.silent_total_off = figures.silent_total_off.max((all / rate - 1.0).abs());
+        if SILENT.after + 2 < period && period <= SILENT.last {
+            figures.silent_total_off = figures.silent_total_off.max((total / rate - 1.0).abs());
         }
         let last_end =
-            [BACKLOG, CUT, LIAR, SILENT].into_iter().map(|(_, to)| to + 1).rfind(|to| *to <= period);
-        // While another event is under way, what is off is not the last one's.
-        let under_way =
-            [BACKLOG, CUT, LIAR, SILENT].into_iter().any(|(from, to)| from <= period && period <= to);
-        if let (true, Some(end)) = (swing > 0.05 && !under_way, last_end) {
-            // The first moment of that period.
+            [BACKLOG, CUT, LIAR, SILENT].into_iter().map(|phase| phase.last + 1).rfind(|end| *end <= period);
+        // During another phase, deviations are not due to the last one.
+        let in_progress = [BACKLOG, CUT, LIAR, SILENT]
+            .into_iter()
+            .any(|phase| phase.after <= period && period <= phase.last);
+        if let (true, Some(end)) = (swing > 0.05 && !in_progress, last_end) {
+            // The time at which that period began.
             let began = now.mul_f64(end as f64 / (period as f64 + 1.0));
             figures.settled_ms = figures.settled_ms.max((now.saturating_sub(began)).as_secs_f64() * 1e3);
         }
     }
 
-    fn ended(mut self) -> Figures {
-        for (place, (from, _)) in self.lines.iter().enumerate() {
-            let within = |(at, _): &&(Duration, usize)| *at < *from + Duration::from_secs(1);
-            let sum: usize = self.lines[place..].iter().take_while(within).map(|(_, count)| count).sum();
+    /// Computes the maximum line rate and returns the figures.
+    fn finish(mut self) -> Figures {
+        for (index, (from, _)) in self.lines.iter().enumerate() {
+            let within_a_second = |(at, _): &&(Duration, usize)| *at < *from + Duration::from_secs(1);
+            let sum: usize =
+                self.lines[index..].iter().take_while(within_a_second).map(|(_, count)| count).sum();
             self.figures.lines_to_module_most_per_s = self.figures.lines_to_module_most_per_s.max(sum as f64);
         }
         self.figures
     }
 }
 
-struct Decided {
+/// Results of both intakes.
+struct IntakeResults {
     now: Figures,
     oldest_first: Figures,
     conserved: bool,
     silent_read_as_idle: u64,
     reports: u64,
     lines: u64,
-    intake: Histogram<u64>,
+    intake_us: Histogram<u64>,
     busy: Duration,
     ledger: String,
 }
 
-/// The deciding thread: both intakes take every report; what either would tell the module is held to the truth.
-fn decide(
-    fleet: &Fleet,
-    heard: &Receiver<Heard>,
+/// The intake thread: passes every report to both intakes, and compares the lines that each outputs with the truth.
+fn run_intakes(
+    fleet: &SimulatedFleet,
+    stream_events: &Receiver<StreamEvent>,
     start: Instant,
     stop: &AtomicBool,
-) -> Result<Decided, Failed> {
-    let settings = fleet.args;
+) -> Result<IntakeResults, CommandError> {
+    let settings = fleet.settings;
     let mut names = Names::new(&[]);
     for server in 0..settings.servers {
         names.ep(&server_name(server));
     }
     let zone = names.zone("z");
-    let limits =
-        Intaking { period: settings.period, lines_per_s: settings.lines_per_s, ..Intaking::default() };
+    let limits = IntakeLimits {
+        period: settings.period,
+        lines_per_s: settings.lines_per_s,
+        ..IntakeLimits::default()
+    };
     let mut intake = Intake::new(limits, settings.seed);
-    let mut before = former::Intake::new(settings.lines_per_s, settings.period);
-    let (mut now_picture, mut before_picture) = (Picture::default(), Picture::default());
-    let ep = |index: usize| Ep { index, stable: 0 };
+    let mut baseline = BaselineIntake::new(settings.lines_per_s, settings.period);
+    let (mut current_view, mut baseline_view) = (ModuleView::default(), ModuleView::default());
+    let endpoint = |index: usize| Ep { index, stable: 0 };
     let histogram = Histogram::new_with_bounds(1, 60_000_000, 3);
-    let mut out = Decided {
+    let mut results = IntakeResults {
         now: Figures::default(),
         oldest_first: Figures::default(),
         conserved: true,
         silent_read_as_idle: 0,
         reports: 0,
         lines: 0,
-        intake: histogram.map_err(|error| failed(&error))?,
+        intake_us: histogram.map_err(CommandError::runtime)?,
         busy: Duration::ZERO,
         ledger: String::new(),
     };
-    let mut looked = 0;
+    let mut checked_period = 0;
     while !stop.load(Ordering::Relaxed) {
-        let first = heard.recv_timeout(Duration::from_millis(20)).ok();
+        let first = stream_events.recv_timeout(Duration::from_millis(20)).ok();
         let began = Instant::now();
-        for one in first.into_iter().chain(heard.try_iter().take(256)) {
+        for event in first.into_iter().chain(stream_events.try_iter().take(256)) {
             let now = start.elapsed();
-            match one {
-                Heard::Opened(proxy) => intake.opened(now, proxy as u32, zone),
-                Heard::Closed(proxy) => intake.closed(now, proxy as u32),
-                Heard::Report(proxy, came, report) => {
-                    let told = read_report(proxy as u32, zone, &report, &fleet.service, &names);
-                    out.lines += told.lines.len() as u64;
-                    out.reports += 1;
-                    intake.take(now, told);
-                    out.intake.saturating_record(came.elapsed().as_micros() as u64);
-                    let own = Instant::now();
-                    before.take(now, zone, &report, &fleet.service, &names);
-                    out.busy = out.busy.saturating_sub(own.elapsed());
+            match event {
+                StreamEvent::Opened(proxy) => intake.opened(now, proxy as u32, zone),
+                StreamEvent::Closed(proxy) => intake.closed(now, proxy as u32),
+                StreamEvent::Report(proxy, received_at, report) => {
+                    let report_lines = read_report(proxy as u32, zone, &report, &fleet.service, &names);
+                    results.lines += report_lines.lines.len() as u64;
+                    results.reports += 1;
+                    intake.take(now, report_lines);
+                    results.intake_us.saturating_record(received_at.elapsed().as_micros() as u64);
+                    let baseline_began = Instant::now();
+                    baseline.add_report(now, zone, &report, &fleet.service, &names);
+                    results.busy = results.busy.saturating_sub(baseline_began.elapsed());
                 }
             }
         }
         let now = start.elapsed();
-        let given = intake.give(now);
-        out.busy += began.elapsed();
+        let lines = intake.give(now);
+        results.busy += began.elapsed();
         let period = (now.as_nanos() / settings.period.as_nanos()) as u64;
-        let events: Vec<Event> = given.iter().map(|given| event(given, ep)).collect();
+        let events: Vec<Event> = lines.iter().map(|line| event(line, endpoint)).collect();
         if !events.is_empty() {
-            now_picture.take(now, &events, &fleet.truth, period, settings.rate);
+            current_view.update(now, &events, &fleet.true_shares, period, settings.rate);
         }
-        let events = before.give(now, &names, ep);
+        let events = baseline.output_due(now, &names, endpoint);
         if !events.is_empty() {
-            before_picture.take(now, &events, &fleet.truth, period, settings.rate);
+            baseline_view.update(now, &events, &fleet.true_shares, period, settings.rate);
         }
-        if period > looked {
-            looked = period;
-            out.conserved &=
+        if period > checked_period {
+            checked_period = period;
+            results.conserved &=
                 intake.waiting() == intake.recount() && intake.ledger().conserved(intake.waiting());
-            let silent =
-                (0..settings.proxies).filter(|proxy| fleet.silent(*proxy, period) && period > SILENT.0 + 5);
-            let idle = |proxy: &usize| intake.hearing(now, *proxy as u32) == Some(Hearing::Quiet);
-            out.silent_read_as_idle += silent.filter(idle).count() as u64;
+            let silent = (0..settings.proxies)
+                .filter(|proxy| fleet.is_silent(*proxy, period) && period > SILENT.after + 5);
+            let read_as_idle = |proxy: &usize| intake.hearing(now, *proxy as u32) == Some(Hearing::Quiet);
+            results.silent_read_as_idle += silent.filter(read_as_idle).count() as u64;
         }
     }
-    out.ledger = format!("{:?}", intake.ledger());
-    (out.now, out.oldest_first) = (now_picture.ended(), before_picture.ended());
-    Ok(out)
+    results.ledger = format!("{:?}", intake.ledger());
+    (results.now, results.oldest_first) = (current_view.finish(), baseline_view.finish());
+    Ok(results)
 }
 
-pub fn run(args: &SoakArgs) -> Result<(), Failed> {
-    let sane = (10..=5000).contains(&args.proxies) && (1..=10_000).contains(&args.servers);
-    let told = args.slices > 1 && args.tells < args.slices && args.rate > 0.0 && args.lines_per_s > 0;
-    if !sane || !told || !(50..=10_000).contains(&args.period_ms) {
-        return Err(Failed::Usage(
+/// Runs the soak and prints its results; fails if counts were not conserved or a silent proxy was read as idle.
+pub fn run(args: &SoakArgs) -> Result<(), CommandError> {
+    let valid_fleet = (10..=5000).contains(&args.proxies) && (1..=10_000).contains(&args.servers);
+    let valid_load = args.slices > 1 && args.tells < args.slices && args.rate > 0.0 && args.lines_per_s > 0;
+    if !valid_fleet || !valid_load || !(50..=10_000).contains(&args.period_ms) {
+        return Err(CommandError::Usage(
             "expected: 10 to 5000 proxies, up to 10000 servers, tells under slices, a period of 50 to 10000 ms".into(),
         ));
     }
-    let fleet = Arc::new(Fleet::new(args));
-    let drivers = Drivers::start("soak", 2).map_err(|error| failed(&error))?;
+    let fleet = Arc::new(SimulatedFleet::new(args));
+    let drivers = Drivers::start("soak", 2).map_err(CommandError::runtime)?;
     let workers = Workers::new("lrs", args.proxies + 8, 192 << 10);
-    let (to, heard) = bounded(4096);
-    let listener = listen(&drivers, &workers, to).map_err(|error| failed(&error))?;
+    let (event_sender, stream_events) = bounded(4096);
+    let listener = start_listener(&drivers, &workers, event_sender).map_err(CommandError::runtime)?;
     let start = Instant::now();
-    let (stop, memory) = (AtomicBool::new(false), AtomicU64::new(0));
-    let began = process_figures_of("self").0;
+    let (stop, memory_kb) = (AtomicBool::new(false), AtomicU64::new(0));
+    let cpu_ms_before = process_figures_of("self").0;
     let groups: Vec<Vec<usize>> =
         (0..8).map(|group| (0..args.proxies).filter(|proxy| proxy % 8 == group).collect()).collect();
-    let decided = thread::scope(|scope| {
-        let deciding = scope.spawn(|| decide(&fleet, &heard, start, &stop));
-        let playing: Vec<_> = groups
+    let results = thread::scope(|scope| {
+        let intake_thread = scope.spawn(|| run_intakes(&fleet, &stream_events, start, &stop));
+        let proxy_threads: Vec<_> = groups
             .iter()
-            .map(|group| scope.spawn(|| proxies(&fleet, group, listener.addr(), &drivers, start)))
+            .map(|group| scope.spawn(|| run_proxies(&fleet, group, listener.addr(), &drivers, start)))
             .collect();
         let mut result = Ok(());
-        for one in playing {
-            memory.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
-            let ended = one.join().unwrap_or_else(|_| Err(Failed::Running("a player panicked".into())));
+        for proxy_thread in proxy_threads {
+            memory_kb.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
+            let ended = proxy_thread
+                .join()
+                .unwrap_or_else(|_| Err(CommandError::Runtime("a proxy thread panicked".into())));
             result = result.and(ended);
         }
-        memory.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
-        // What is still on its way is heard within a period or two.
-        thread::sleep(fleet.args.period * 3);
+        memory_kb.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
+        // Reports in transit arrive within a period or two.
+        thread::sleep(fleet.settings.period * 3);
         stop.store(true, Ordering::Relaxed);
-        let decided =
-            deciding.join().unwrap_or_else(|_| Err(Failed::Running("the decisions panicked".into())));
-        result.and(decided)
+        let intakes = intake_thread
+            .join()
+            .unwrap_or_else(|_| Err(CommandError::Runtime("the intake thread panicked".into())));
+        result.and(intakes)
     })?;
-    let took = start.elapsed().as_secs_f64();
-    let cpu = process_figures_of("self").0.saturating_sub(began) as f64 / 1e3;
-    let soaked = Soaked {
+    let elapsed_s = start.elapsed().as_secs_f64();
+    let cpu_s = process_figures_of("self").0.saturating_sub(cpu_ms_before) as f64 / 1e3;
+    let report = SoakReport {
         proxies: args.proxies,
         servers: args.servers,
-        reports: decided.reports,
-        lines_offered: decided.lines,
-        lines_to_module_most_per_s: decided.now.lines_to_module_most_per_s,
-        conserved: decided.conserved,
-        weight_swing_most: decided.now.weight_swing_most,
-        settled_ms: decided.now.settled_ms,
-        silent_read_as_idle: decided.silent_read_as_idle,
-        memory_mb: memory.load(Ordering::Relaxed) as f64 / 1024.0,
-        p99_intake_ms: decided.intake.value_at_quantile(0.99) as f64 / 1e3,
-        cores: cpu / took,
-        deciding_share: decided.busy.as_secs_f64() / took,
-        ledger: decided.ledger,
-        now: decided.now,
-        oldest_first: decided.oldest_first,
+        reports: results.reports,
+        lines_offered: results.lines,
+        lines_to_module_most_per_s: results.now.lines_to_module_most_per_s,
+        conserved: results.conserved,
+        weight_swing_most: results.now.weight_swing_most,
+        settled_ms: results.now.settled_ms,
+        silent_read_as_idle: results.silent_read_as_idle,
+        memory_mb: memory_kb.load(Ordering::Relaxed) as f64 / 1024.0,
+        p99_intake_ms: results.intake_us.value_at_quantile(0.99) as f64 / 1e3,
+        cores: cpu_s / elapsed_s,
+        deciding_share: results.busy.as_secs_f64() / elapsed_s,
+        ledger: results.ledger,
+        now: results.now,
+        oldest_first: results.oldest_first,
     };
     if !args.json {
-        println!("{}", soaked.ledger);
-        println!("now:          {:?}", soaked.now);
-        println!("oldest first: {:?}", soaked.oldest_first);
+        println!("{}", report.ledger);
+        println!("now:          {:?}", report.now);
+        println!("oldest first: {:?}", report.oldest_first);
     }
-    println!("{}", serde_json::to_string(&soaked).map_err(|error| failed(&error))?);
-    if soaked.conserved && soaked.silent_read_as_idle == 0 {
+    println!("{}", serde_json::to_string(&report).map_err(CommandError::runtime)?);
+    if report.conserved && report.silent_read_as_idle == 0 {
         Ok(())
     } else {
-        Err(Failed::Running("counts were not conserved, or a silent proxy was read as idle".into()))
+        Err(CommandError::Runtime("counts were not conserved, or a silent proxy was read as idle".into()))
     }
 }
--- a/crates/whinhill-cli/src/standin.rs
+++ b/crates/whinhill-cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `whinhill standin`: runs one of the stand-ins by itself, to try an assigner or a proxy by hand.
+//! `whinhill standin`: runs a single stand-in, to try an assigner or a proxy by hand.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,14 +12,16 @@
 use whinhill_standins::store::StoreStandIn;
 use whinhill_transport::Workers;
 
-use crate::{config, until_stopped, Failed};
+use crate::{config, lifecycle, CommandError};
 
+/// The stand-ins that can be run.
 #[derive(Subcommand)]
 pub enum StandinCommand {
-    /// A store that speaks RESP and keeps everything in memory.
+    /// An in-memory store that speaks RESP.
     Store {
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
+        /// File to which the listen address is written once the stand-in listens.
         #[arg(long)]
         ready_file: Option<PathBuf>,
     },
@@ -29,27 +31,28 @@
         day: PathBuf,
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// It starts cold.
+        /// Start cold.
         #[arg(long)]
         cold: bool,
+        /// File to which the listen address is written once the stand-in listens.
         #[arg(long)]
         ready_file: Option<PathBuf>,
     },
 }
 
-pub fn run(command: StandinCommand) -> Result<(), Failed> {
-    let stop = until_stopped::listen()?;
-    let failed = |error: std::io::Error| Failed::Running(error.to_string());
+/// Runs a stand-in until SIGTERM or SIGINT.
+pub fn run(command: StandinCommand) -> Result<(), CommandError> {
+    let stop = lifecycle::stop_on_signal()?;
     let record = Recorder::default();
     match command {
         StandinCommand::Store { listen, ready_file } => {
-            let store = StoreStandIn::start(listen, &record).map_err(failed)?;
-            tracing::info!(addr = %store.addr(), "store listens");
-            until_stopped::say_ready(ready_file.as_deref(), store.addr(), &stop)?;
-            until_stopped::wait(&stop);
+            let store = StoreStandIn::start(listen, &record).map_err(CommandError::runtime)?;
+            tracing::info!(addr = %store.addr(), "store listening");
+            lifecycle::write_ready_file(ready_file.as_deref(), store.addr(), &stop)?;
+            lifecycle::wait_until_stopped(&stop);
         }
         StandinCommand::Server { day, listen, cold, ready_file } => {
-            let day: Day = config::read(&day, Day::check)?;
+            let day: Day = config::read_file(&day, Day::check)?;
             let config = ServerConfig {
                 listen,
                 cores: day.servers.cores,
@@ -64,11 +67,14 @@
             };
             let server =
                 Server::start(config, &Workers::new("rpc", 1024, whinhill_transport::CALL_STACK), &record)
-                    .map_err(failed)?;
-            let addr: SocketAddr = server.name().parse().map_err(|_| Failed::Running("no address".into()))?;
-            tracing::info!(%addr, "server listens");
-            until_stopped::say_ready(ready_file.as_deref(), addr, &stop)?;
-            until_stopped::wait(&stop);
+                    .map_err(CommandError::runtime)?;
+            let addr: SocketAddr = server
+                .name()
+                .parse()
+                .map_err(|_| CommandError::Runtime("the server's name is not an address".into()))?;
+            tracing::info!(%addr, "server listening");
+            lifecycle::write_ready_file(ready_file.as_deref(), addr, &stop)?;
+            lifecycle::wait_until_stopped(&stop);
         }
     }
     Ok(())
--- a/crates/whinhill-cli/src/table.rs
+++ b/crates/whinhill-cli/src/table.rs
@@ -1,4 +1,4 @@
-//! `whinhill table`: looks at the versions of a running assigner's tables, and leads back to an older one.
+//! `whinhill table`: inspects the versions of a running assigner's tables and rolls back to an older one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,143 +9,151 @@
 use whinhill_tables::{Author, SliceTable};
 use whinhill_transport::Drivers;
 
-use crate::{soak, Failed};
+use crate::{table_soak, CommandError};
 
+/// Arguments of `whinhill table`.
 #[derive(Args)]
 pub struct TableArgs {
     #[command(subcommand)]
     command: TableCommand,
 }
 
+/// Arguments of all requests to an assigner.
 #[derive(Args)]
-struct At {
-    /// Where the assigner listens to operators.
+struct OperatorArgs {
+    /// Address on which the assigner listens for operators.
     #[arg(long)]
     at: SocketAddr,
-    /// The answer as JSON.
+    /// Print the answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Subcommand)]
 enum TableCommand {
-    /// The newest versions: who made them, when and why.
+    /// List the newest versions: who made them, when and why.
     History {
         #[command(flatten)]
-        at: At,
+        operator: OperatorArgs,
+        /// Number of versions to list.
         #[arg(long, default_value_t = 20)]
         most: usize,
     },
-    /// One version's tables.
+    /// Show one version's tables.
     Show {
         #[command(flatten)]
-        at: At,
+        operator: OperatorArgs,
         /// A number, `current`, `last-good`, or `@` and milliseconds of Unix time.
-        #[arg(default_value = "current", value_parser = target)]
+        #[arg(default_value = "current", value_parser = parse_version)]
         version: Target,
         /// Only these slices.
         #[arg(long, value_delimiter = ',')]
         slices: Vec<usize>,
     },
-    /// The slices in which two versions differ.
+    /// List the slices in which two versions differ.
     Diff {
         #[command(flatten)]
-        at: At,
-        #[arg(value_parser = target)]
+        operator: OperatorArgs,
+        #[arg(value_parser = parse_version)]
         from: Target,
-        #[arg(default_value = "current", value_parser = target)]
+        #[arg(default_value = "current", value_parser = parse_version)]
         to: Target,
     },
-    /// Mark a version as good: it is kept however old it gets.
+    /// Mark a version as good, which keeps it whatever its age.
     PinGood {
         #[command(flatten)]
-        at: At,
-        #[arg(default_value = "current", value_parser = target)]
+        operator: OperatorArgs,
+        #[arg(default_value = "current", value_parser = parse_version)]
         version: Target,
     },
-    /// Lead owners back to where they were in a version, by the ordinary handover.
+    /// Move slices back to their owners of a version, with ordinary handovers.
     Rollback {
         #[command(flatten)]
-        at: At,
-        #[arg(value_parser = target)]
+        operator: OperatorArgs,
+        #[arg(value_parser = parse_version)]
         to: Target,
         /// Only these slices.
         #[arg(long, value_delimiter = ',')]
         slices: Vec<usize>,
-        /// Who orders it, for the history.
+        /// Name of the operator, for the history.
         #[arg(long)]
         by: String,
-        /// Say what would be done, and do nothing.
+        /// Only print what would be done.
         #[arg(long)]
         dry_run: bool,
-        /// What has found no room by then is abandoned, in seconds.
+        /// Seconds after which moves that found no owner with spare capacity are abandoned.
         #[arg(long, default_value_t = 300)]
         within_s: u64,
     },
-    /// Rollbacks under way and ended.
+    /// List the rollbacks in progress and ended.
     Rollbacks {
         #[command(flatten)]
-        at: At,
+        operator: OperatorArgs,
     },
-    /// Which version each proxy has acknowledged, and who is behind.
+    /// Show which version each proxy has acknowledged and how far it is behind.
     Proxies {
         #[command(flatten)]
-        at: At,
+        operator: OperatorArgs,
     },
-    /// Random changes, rollbacks, lost and repeated messages and crashes, against a full rebuild.
-    Soak(soak::SoakArgs),
+    /// Soak-test tables with random changes, rollbacks, lost and repeated messages and crashes, against a full rebuild.
+    Soak(table_soak::SoakArgs),
 }
 
-fn target(text: &str) -> Result<Target, String> {
+/// Parses the name of a version: a number, `current`, `last-good`, or `@` and milliseconds of Unix time.
+fn parse_version(text: &str) -> Result<Target, String> {
     match text {
         "current" => Ok(Target::Current),
         "last-good" => Ok(Target::LastGood),
         _ => {
             let number = |text: &str| text.parse::<u64>().ok();
-            let found = match text.strip_prefix('@') {
+            let selector = match text.strip_prefix('@') {
                 Some(time) => number(time).map(Target::UnixMs),
                 None => number(text).map(Target::Version),
             };
-            found.ok_or_else(|| "a number, `current`, `last-good` or `@UNIX_MS` is expected".to_string())
+            selector.ok_or_else(|| "expected a number, `current`, `last-good` or `@UNIX_MS`".to_string())
         }
     }
 }
 
-fn some(slices: Vec<usize>) -> Option<BTreeSet<usize>> {
+/// The set of slices to select; `None`, for all, if none are given.
+fn slice_filter(slices: Vec<usize>) -> Option<BTreeSet<usize>> {
     (!slices.is_empty()).then(|| slices.into_iter().collect())
 }
 
-pub fn run(args: TableArgs) -> Result<(), Failed> {
-    let (at, ask) = match args.command {
-        TableCommand::History { at, most } => (at, Ask::History { most }),
-        TableCommand::Show { at, version, slices } => (at, Ask::Show { version, slices: some(slices) }),
-        TableCommand::Diff { at, from, to } => (at, Ask::Diff { from, to }),
-        TableCommand::PinGood { at, version } => (at, Ask::PinGood { version }),
-        TableCommand::Rollback { at, to, slices, by, dry_run, within_s } => {
-            let slices = some(slices);
-            (at, Ask::Rollback { to, slices, by, dry_run, within_ms: within_s.saturating_mul(1000) })
+/// Runs a sub-command of `whinhill table`.
+pub fn run(args: TableArgs) -> Result<(), CommandError> {
+    let (operator, request) = match args.command {
+        TableCommand::History { operator, most } => (operator, Ask::History { most }),
+        TableCommand::Show { operator, version, slices } => {
+            (operator, Ask::Show { version, slices: slice_filter(slices) })
         }
-        TableCommand::Rollbacks { at } => (at, Ask::Rollbacks),
-        TableCommand::Proxies { at } => (at, Ask::Proxies),
-        TableCommand::Soak(args) => return soak::run(&args),
+        TableCommand::Diff { operator, from, to } => (operator, Ask::Diff { from, to }),
+        TableCommand::PinGood { operator, version } => (operator, Ask::PinGood { version }),
+        TableCommand::Rollback { operator, to, slices, by, dry_run, within_s } => {
+            let slices = slice_filter(slices);
+            (operator, Ask::Rollback { to, slices, by, dry_run, within_ms: within_s.saturating_mul(1000) })
+        }
+        TableCommand::Rollbacks { operator } => (operator, Ask::Rollbacks),
+        TableCommand::Proxies { operator } => (operator, Ask::Proxies),
+        TableCommand::Soak(args) => return table_soak::run(&args),
     };
-    let failed = |error: &dyn std::fmt::Display| Failed::Running(error.to_string());
-    let drivers = Drivers::start("operator", 1).map_err(|error| failed(&error))?;
-    let answer = whinhill_assigner::ask(at.at, &ask, &drivers).map_err(|error| failed(&error))?;
-    if at.json {
-        return line(&answer);
+    let drivers = Drivers::start("operator", 1).map_err(CommandError::runtime)?;
+    let answer = whinhill_assigner::ask(operator.at, &request, &drivers).map_err(CommandError::runtime)?;
+    if operator.json {
+        return print_json(&answer);
     }
-    print(answer);
+    print_answer(answer);
     Ok(())
 }
 
-fn line(answer: &impl Serialize) -> Result<(), Failed> {
-    let text = serde_json::to_string(answer).map_err(|error| Failed::Running(error.to_string()))?;
+/// Prints an answer as one line of JSON.
+fn print_json(answer: &impl Serialize) -> Result<(), CommandError> {
+    let text = serde_json::to_string(answer).map_err(CommandError::runtime)?;
     println!("{text}");
     Ok(())
 }
 
-fn author(author: &Author) -> String {
+fn author_text(author: &Author) -> String {
     match author {
         Author::Module => "module".into(),
         Author::Operator(name) => format!("operator {name}"),
@@ -154,39 +162,46 @@
     }
 }
 
-fn owner(table: Option<&SliceTable>) -> String {
-    let Some(table) = table else { return "not ours".into() };
+/// Version, owner and levels of a slice's table.
+fn table_text(table: Option<&SliceTable>) -> String {
+    let Some(table) = table else { return "not held".into() };
     let levels: Vec<String> = table.shares.iter().map(|share| format!("{share:.2}")).collect();
     format!("{} {} [{}]", table.version, table.owner.as_deref().unwrap_or("nobody"), levels.join(" "))
 }
 
-fn print(answer: Answer) {
+/// Prints an answer for people.
+fn print_answer(answer: Answer) {
     match answer {
         Answer::History { current, compacted, versions } => {
-            println!("current {current}, {compacted} older ones let go");
-            for v in versions {
-                let good = if v.good { " good" } else { "" };
-                let who = author(&v.author);
+            println!("current {current}, {compacted} older versions compacted");
+            for version in versions {
+                let good = if version.good { " good" } else { "" };
+                let author = author_text(&version.author);
                 println!(
-                    "{} {} @{} {who}, {} slices{good}: {}",
-                    v.number, v.hash, v.unix_ms, v.slices, v.cause
+                    "{} {} @{} {author}, {} slices{good}: {}",
+                    version.number, version.hash, version.unix_ms, version.slices, version.cause
                 );
             }
         }
         Answer::Set { number, hash, slices } => {
             println!("version {number} {hash}");
-            slices.iter().for_each(|(slice, table)| println!("{slice} {}", owner(Some(table))));
+            slices.iter().for_each(|(slice, table)| println!("{slice} {}", table_text(Some(table))));
         }
         Answer::Diff { from, to, slices } => {
             println!("{} slices differ between {from} and {to}", slices.len());
             for line in slices {
-                println!("{} {} -> {}", line.slice, owner(line.was.as_ref()), owner(line.now.as_ref()));
+                println!(
+                    "{} {} -> {}",
+                    line.slice,
+                    table_text(line.was.as_ref()),
+                    table_text(line.now.as_ref())
+                );
             }
         }
         Answer::Pinned { number } => println!("version {number} is marked good"),
         Answer::Plan { id, to, slices, levels_left } => {
             match id {
-                Some(id) => println!("rollback {id} to version {to} has begun"),
+                Some(id) => println!("rollback {id} to version {to} started"),
                 None => println!("dry run of a rollback to version {to}"),
             }
             for line in slices.iter().filter(|line| line.verdict != "stands") {
@@ -203,23 +218,33 @@
             );
         }
         Answer::Rollbacks(lines) => {
-            for r in lines {
-                let (p, state) = (r.progress, if r.finished { "ended" } else { "under way" });
+            for rollback in lines {
+                let (progress, state) =
+                    (rollback.progress, if rollback.finished { "ended" } else { "in progress" });
                 println!(
-                    "{} to {} by {}: {state}; {} open, {} wished, {} done, {} abandoned",
-                    r.id, r.to, r.by, p.open, p.handed, p.done, p.abandoned
+                    "{} to {} by {}: {state}; {} open, {} requested, {} done, {} abandoned",
+                    rollback.id,
+                    rollback.to,
+                    rollback.by,
+                    progress.open,
+                    progress.handed,
+                    progress.done,
+                    progress.abandoned
                 );
-                r.abandoned.iter().for_each(|(slice, why)| println!("  {slice}: {why}"));
+                rollback.abandoned.iter().for_each(|(slice, why)| println!("  {slice}: {why}"));
             }
         }
         Answer::Proxies { current, proxies } => {
             println!("current {current}");
-            for p in proxies {
-                let acked = p.acked.map_or("nothing".to_string(), |acked| acked.to_string());
-                println!("{} holds {acked}, {} versions and {} ms behind", p.proxy, p.behind, p.behind_ms);
+            for proxy in proxies {
+                let acked = proxy.acked.map_or("nothing".to_string(), |acked| acked.to_string());
+                println!(
+                    "{} holds {acked}, {} versions and {} ms behind",
+                    proxy.proxy, proxy.behind, proxy.behind_ms
+                );
             }
         }
-        // Asked for by `whinhill reports` alone.
+        // Only `whinhill reports` requests this.
         Answer::Reports(answer) => println!("{} reports", answer.reports),
         Answer::Refused(why) => println!("{why}"),
     }
