--- a/crates/whinhill-cli/tests/days.rs
+++ b/crates/whinhill-cli/tests/days.rs
@@ -1,56 +1,62 @@
-//! Days on loopback, played by the real binary and audited; and broken components, which the audit must find.
+//! Days (scenario files) run on loopback by the binary and audited, and components with deliberate defects, which the
+//! audit must detect.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
+/// The path of a day file.
 fn day(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name)
 }
 
+/// Runs the binary to its end.
 fn whinhill(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinhill"));
     command.args(["--log-level", "error"]).args(args).output().unwrap()
 }
 
-/// The object that the last line of a day's output holds.
+/// The JSON object in the last line of the output.
 fn outcome(output: &Output) -> serde_json::Value {
     let text = String::from_utf8_lossy(&output.stdout);
-    let last = text.lines().last().unwrap_or_else(|| panic!("{}", String::from_utf8_lossy(&output.stderr)));
-    serde_json::from_str(last).unwrap()
+    let last_line =
+        text.lines().last().unwrap_or_else(|| panic!("{}", String::from_utf8_lossy(&output.stderr)));
+    serde_json::from_str(last_line).unwrap()
 }
 
-fn play(path: &Path) -> (serde_json::Value, Option<i32>) {
+/// Runs a day; returns its outcome and exit code.
+fn run_day(path: &Path) -> (serde_json::Value, Option<i32>) {
     let output = whinhill(&["day", "run", path.to_str().unwrap(), "--json"]);
     (outcome(&output), output.status.code())
 }
 
-fn broken(outcome: &serde_json::Value) -> u64 {
+/// The number of rule violations.
+fn violations(outcome: &serde_json::Value) -> u64 {
     outcome["rules"].as_object().unwrap().values().map(|count| count.as_u64().unwrap()).sum()
 }
 
 #[test]
-fn a_quiet_day_is_served_whole() {
-    let (outcome, code) = play(&day("quiet.json5"));
-    assert_eq!((broken(&outcome), code), (0, Some(0)), "{outcome}");
+fn quiet_day_breaks_no_rule_and_serves_nearly_all_rpcs() {
+    let (outcome, code) = run_day(&day("quiet.json5"));
+    assert_eq!((violations(&outcome), code), (0, Some(0)), "{outcome}");
     assert!(outcome["rpcs"].as_u64().unwrap() > 400, "{outcome}");
     assert!(outcome["ok_share"].as_f64().unwrap() > 0.98, "{outcome}");
 }
 
 #[test]
-fn a_bad_day_breaks_no_rule() {
-    let (outcome, code) = play(&day("bad-day.json5"));
-    assert_eq!((broken(&outcome), code), (0, Some(0)), "{outcome}");
-    // It was a bad day: owners moved, tables were rejected, streams broke.
-    for what in ["handovers", "nacks", "reconnects", "lines_sent"] {
-        assert!(outcome[what].as_u64().unwrap() > 0, "{what}: {outcome}");
+fn day_with_many_faults_breaks_no_rule() {
+    let (outcome, code) = run_day(&day("bad-day.json5"));
+    assert_eq!((violations(&outcome), code), (0, Some(0)), "{outcome}");
+    // The faults took effect: owners moved, tables were rejected, streams broke.
+    for field in ["handovers", "nacks", "reconnects", "lines_sent"] {
+        assert!(outcome[field].as_u64().unwrap() > 0, "{field}: {outcome}");
     }
 }
 
 #[test]
-fn links_of_every_kind_may_fail_without_a_broken_rule() {
-    let (outcome, code) = play(&day("links.json5"));
-    assert_eq!((broken(&outcome), code), (0, Some(0)), "{outcome}");
+fn failing_links_of_every_kind_break_no_rule() {
+    let (outcome, code) = run_day(&day("links.json5"));
+    assert_eq!((violations(&outcome), code), (0, Some(0)), "{outcome}");
     assert!(
         outcome["handovers"].as_u64().unwrap() > 0 && outcome["rpcs"].as_u64().unwrap() > 1000,
         "{outcome}"
@@ -58,42 +64,43 @@
 }
 
 #[test]
-fn assigners_and_proxies_as_processes_are_killed_without_a_broken_rule() {
-    let (outcome, code) = play(&day("processes.json5"));
-    assert_eq!((broken(&outcome), code), (0, Some(0)), "{outcome}");
+fn killed_assigner_and_proxy_processes_break_no_rule() {
+    let (outcome, code) = run_day(&day("processes.json5"));
+    assert_eq!((violations(&outcome), code), (0, Some(0)), "{outcome}");
     assert!(outcome["reconnects"].as_u64().unwrap() > 0, "{outcome}");
 }
 
 #[test]
-fn a_rollback_under_load_survives_an_assigner_that_is_killed_half_way() {
-    let (outcome, code) = play(&day("rollback.json5"));
-    assert_eq!((broken(&outcome), code), (0, Some(0)), "{outcome}");
-    let of = |what: &str| outcome["rollbacks"][what].as_u64().unwrap();
-    assert!(of("asked") >= 3 && of("slices_done") > 0, "{outcome}");
-    assert_eq!(of("ended"), of("asked"), "{outcome}");
+fn rollback_under_load_completes_after_assigner_is_killed_midway() {
+    let (outcome, code) = run_day(&day("rollback.json5"));
+    assert_eq!((violations(&outcome), code), (0, Some(0)), "{outcome}");
+    let rollbacks = |field: &str| outcome["rollbacks"][field].as_u64().unwrap();
+    assert!(rollbacks("asked") >= 3 && rollbacks("slices_done") > 0, "{outcome}");
+    assert_eq!(rollbacks("ended"), rollbacks("asked"), "{outcome}");
 }
 
 #[test]
-fn tables_soaked_in_crashes_and_lost_messages_equal_a_full_rebuild() {
+fn table_soak_with_crashes_and_lost_messages_matches_full_rebuild() {
     let output = whinhill(&["table", "soak", "--seed", "3", "--steps", "3000", "--proxies", "6", "--json"]);
     let outcome = outcome(&output);
     assert_eq!(output.status.code(), Some(0), "{outcome}");
-    for what in ["mismatches", "owner_order_breaks", "rollbacks_open"] {
-        assert_eq!(outcome[what], 0, "{what}: {outcome}");
+    for field in ["mismatches", "owner_order_breaks", "rollbacks_open"] {
+        assert_eq!(outcome[field], 0, "{field}: {outcome}");
     }
-    for what in ["rollbacks", "crashes", "refused_deltas"] {
-        assert!(outcome[what].as_u64().unwrap() > 0, "{what}: {outcome}");
+    for field in ["rollbacks", "crashes", "refused_deltas"] {
+        assert!(outcome[field].as_u64().unwrap() > 0, "{field}: {outcome}");
     }
-    // An agent that hands slices back unasked must be found.
-    let broken = whinhill(&["table", "soak", "--steps", "3000", "--sabotage", "--json"]);
-    let said = String::from_utf8_lossy(&broken.stderr).to_string();
-    assert_eq!(broken.status.code(), Some(1));
-    assert!(said.contains("shortest failing prefix"), "{said}");
+    // The soak must detect an agent that releases slices without being told to.
+    let sabotaged = whinhill(&["table", "soak", "--steps", "3000", "--sabotage", "--json"]);
+    let stderr = String::from_utf8_lossy(&sabotaged.stderr).to_string();
+    assert_eq!(sabotaged.status.code(), Some(1));
+    assert!(stderr.contains("shortest failing prefix"), "{stderr}");
 }
 
-/// A disk that is full or fails now and then, in keeping a page and in opening the file after a crash.
+/// Some disk operations fail as on a full or faulty disk, both when an update is persisted and when the file is opened
+/// after a crash.
 #[test]
-fn tables_soaked_while_the_disk_fails_lose_nothing_that_was_kept() {
+fn table_soak_with_disk_errors_loses_no_persisted_version() {
     let library = std::env::current_exe().unwrap().with_file_name("libwhinhill_faults.so");
     assert!(library.exists(), "{} is not built", library.display());
     for seed in 1..=6 {
@@ -106,15 +113,15 @@
         let outcome = outcome(&output);
         assert_eq!(output.status.code(), Some(0), "{outcome}");
         assert!(outcome["refused_by_disk"].as_u64().unwrap() > 20, "{outcome}");
-        for what in ["lost_versions", "mismatches", "owner_order_breaks", "rollbacks_open"] {
-            assert_eq!(outcome[what], 0, "{what}: {outcome}");
+        for field in ["lost_versions", "mismatches", "owner_order_breaks", "rollbacks_open"] {
+            assert_eq!(outcome[field], 0, "{field}: {outcome}");
         }
     }
 }
 
-/// Plays a day of handovers with a broken component; tells the breaks of the second rule. At the day's own load few
-/// writes overlap, and now and then none.
-fn sabotaged(kind: &str) -> u64 {
+/// Runs a day of handovers with a defective component; returns the violations of the rule `no_effect_twice`. The load
+/// is raised, since at the day's own load few writes overlap, and in some runs none.
+fn double_effects_with_defect(kind: &str) -> u64 {
     let text = fs::read_to_string(day("handovers.json5")).unwrap();
     assert!(text.contains("rps: 90"));
     let text = text.replacen("rps: 90", "rps: 140", 1);
@@ -122,28 +129,28 @@
     let path = folder.path().join("day.json5");
     fs::write(&path, text.replacen("  faults: [", &format!("  sabotage: [\"{kind}\"],\n  faults: ["), 1))
         .unwrap();
-    let (outcome, code) = play(&path);
+    let (outcome, code) = run_day(&path);
     assert_eq!(code, Some(3), "{kind}: {outcome}");
     outcome["rules"]["no_effect_twice"].as_u64().unwrap()
 }
 
 #[test]
-fn a_proxy_that_ignores_stops_is_found() {
-    assert!(sabotaged("proxy-ignores-stops") > 0);
+fn audit_detects_proxy_that_ignores_stopped_writes() {
+    assert!(double_effects_with_defect("proxy-ignores-stops") > 0);
 }
 
 #[test]
-fn a_server_that_holds_on_to_writes_is_found() {
-    assert!(sabotaged("server-holds-on") > 0);
+fn audit_detects_server_that_continues_abandoned_writes() {
+    assert!(double_effects_with_defect("server-holds-on") > 0);
 }
 
 #[test]
-fn an_assigner_that_skips_the_wait_is_found() {
-    assert!(sabotaged("assigner-skips-wait") > 0);
+fn audit_detects_assigner_that_skips_ack_wait() {
+    assert!(double_effects_with_defect("assigner-skips-wait") > 0);
 }
 
 #[test]
-fn faults_of_a_file_are_all_named_and_unknown_keys_are_errors() {
+fn config_check_reports_all_errors_of_a_day_and_rejects_unknown_keys() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("day.json5");
     let text = fs::read_to_string(day("quiet.json5")).unwrap();
@@ -154,17 +161,20 @@
     .unwrap();
     let check = |path: &Path| whinhill(&["config", "check", "--kind", "day", path.to_str().unwrap()]);
     let output = check(&path);
-    let said = String::from_utf8_lossy(&output.stderr).to_string();
+    let stderr = String::from_utf8_lossy(&output.stderr).to_string();
     assert_eq!(output.status.code(), Some(2));
-    assert!(said.contains("seconds: over 0") && said.contains("assigners: 1 to 16"), "{said}");
-    let bad = r#"{ between: "assigners-store", near: { one: 7 }, fault: { down: {} } }"#;
-    let faults = format!("  faults: [{{ at_s: 1, what: {{ link: {bad} }} }}],\n}}");
-    let place = text.find("  faults").unwrap_or(text.rfind('}').unwrap());
-    fs::write(&path, format!("{}{faults}", &text[..place])).unwrap();
-    let said = String::from_utf8_lossy(&check(&path).stderr).to_string();
-    assert!(said.contains("faults[0].near: a part over 0 up to 1, or one below 2, is expected"), "{said}");
+    assert!(stderr.contains("seconds: over 0") && stderr.contains("assigners: 1 to 16"), "{stderr}");
+    let bad_link = r#"{ between: "assigners-store", near: { one: 7 }, fault: { down: {} } }"#;
+    let faults = format!("  faults: [{{ at_s: 1, what: {{ link: {bad_link} }} }}],\n}}");
+    let faults_at = text.find("  faults").unwrap_or(text.rfind('}').unwrap());
+    fs::write(&path, format!("{}{faults}", &text[..faults_at])).unwrap();
+    let stderr = String::from_utf8_lossy(&check(&path).stderr).to_string();
+    assert!(
+        stderr.contains("faults[0].near: a part over 0 up to 1, or one below 2, is expected"),
+        "{stderr}"
+    );
     fs::write(&path, text.replacen("seed: 1", "sead: 1", 1)).unwrap();
-    let said = String::from_utf8_lossy(&check(&path).stderr).to_string();
-    assert!(said.contains("sead") && said.contains("day.json5:"), "{said}");
+    let stderr = String::from_utf8_lossy(&check(&path).stderr).to_string();
+    assert!(stderr.contains("sead") && stderr.contains("day.json5:"), "{stderr}");
     assert_eq!(check(&day("quiet.json5")).status.code(), Some(0));
 }
--- a/crates/whinhill-cli/tests/platform_soak.rs
+++ b/crates/whinhill-cli/tests/platform_soak.rs
@@ -1,5 +1,5 @@
-//! The soak of the platform's front, short and seeded: no rule is broken, and the auditor finds defects that are put
-//! into the stand-ins.
+//! Short, seeded runs of the platform soak: no rule is broken, and the auditor detects defects that are injected into
+//! the stand-ins.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -10,32 +10,35 @@
 use serde_json::Value;
 use whinhill_standins::platform::script::{Script, Trouble, DRAWN_KINDS};
 
-/// The library that makes calls fail, as the build of the tests leaves it.
-fn library() -> PathBuf {
+/// The library that makes system calls fail, as built with the tests.
+fn fault_library() -> PathBuf {
     let library = std::env::current_exe().unwrap().with_file_name("libwhinhill_faults.so");
     assert!(library.exists(), "{} is not built", library.display());
     library
 }
 
+/// Runs a soak to its end.
 fn soak(folder: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinhill"));
-    command.args(["platform", "soak", "--json", "--library"]).arg(library());
+    command.args(["platform", "soak", "--json", "--library"]).arg(fault_library());
     command.arg("--keep").arg(folder).args(arguments);
     command.output().unwrap()
 }
 
+/// The report of each seed.
 fn reports(output: &Output) -> Vec<Value> {
     let text = String::from_utf8_lossy(&output.stdout);
     text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
-/// Rules that judge by the reference; the other test of the drawn seeds has all the rest.
-const BY_REFERENCE: [&str; 2] = ["rpc-lost", "rpc-refused"];
+/// Rules that compare with the reference. They have a test of their own; the other test of the drawn seeds checks the
+/// remaining rules.
+const REFERENCE_RULES: [&str; 2] = ["rpc-lost", "rpc-refused"];
 
-/// All kinds of trouble are among what these seeds draw. They are played once, for the two tests that judge them.
+/// Reports of seeds that draw every kind of fault. They are run once, for the two tests that evaluate them.
 fn drawn_seeds() -> &'static [Value] {
-    static PLAYED: OnceLock<Vec<Value>> = OnceLock::new();
-    PLAYED.get_or_init(|| {
+    static REPORTS: OnceLock<Vec<Value>> = OnceLock::new();
+    REPORTS.get_or_init(|| {
         let folder = tempfile::tempdir().unwrap();
         let output = soak(folder.path(), &["--seeds", "20-28", "--for", "16s", "--jobs", "3"]);
         let reports = reports(&output);
@@ -48,28 +51,29 @@
     })
 }
 
-/// By seed, the broken rules that are asked for, and where.
-fn broken(reports: &[Value], asked: impl Fn(&str) -> bool) -> Vec<String> {
+/// The broken rules among those selected, by seed, with the places.
+fn broken_rules(reports: &[Value], is_selected: impl Fn(&str) -> bool) -> Vec<String> {
     let rules = |report: &Value| report["broken_by_rule"].as_object().unwrap().clone();
     let of_seed = |report: &Value| {
         let broken: Vec<String> = rules(report)
             .iter()
-            .filter(|(rule, _)| asked(rule))
-            .map(|(rule, n)| format!("{rule}: {n}"))
+            .filter(|(rule, _)| is_selected(rule))
+            .map(|(rule, count)| format!("{rule}: {count}"))
             .collect();
         (!broken.is_empty()).then(|| format!("seed {}: {broken:?} {}", report["seed"], report["broken"]))
     };
     reports.iter().filter_map(of_seed).collect()
 }
 
+/// The kinds of fault that a seed drew.
 fn troubles(report: &Value) -> impl Iterator<Item = &str> {
     report["troubles"].as_array().unwrap().iter().filter_map(Value::as_str)
 }
 
 #[test]
-fn seeds_of_drawn_troubles_break_no_rule() {
+fn seeds_with_drawn_faults_break_no_rule() {
     let reports = drawn_seeds();
-    let broken = broken(reports, |rule| !BY_REFERENCE.contains(&rule));
+    let broken = broken_rules(reports, |rule| !REFERENCE_RULES.contains(&rule));
     assert!(broken.is_empty(), "{broken:#?}");
     let sum = |field: &str| reports.iter().map(|report| report[field].as_u64().unwrap()).sum::<u64>();
     assert!(sum("slow_starts") * 10 <= sum("starts"), "{reports:#?}");
@@ -81,25 +85,26 @@
 
 #[test]
 fn no_more_rpcs_are_lost_or_refused_than_the_reference_allows() {
-    let broken = broken(drawn_seeds(), |rule| BY_REFERENCE.contains(&rule));
+    let broken = broken_rules(drawn_seeds(), |rule| REFERENCE_RULES.contains(&rule));
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// Proxies whose streams fall silent, flap, or lose answers take no line away from the others (issue 47).
+/// Proxies whose streams stall, reconnect repeatedly, or lose answers must not cost the other proxies a line (issue
+/// 47).
 #[test]
-fn proxies_that_do_not_answer_leave_no_slice_without_a_line() {
+fn unresponsive_proxies_leave_no_slice_without_line() {
     let folder = tempfile::tempdir().unwrap();
     let plan = ["--seeds", "201-206", "--for", "28s", "--jobs", "3", "--fault", "streams"];
     let output = soak(folder.path(), &plan);
     let reports = reports(&output);
     assert_eq!(reports.len(), 6, "{output:?}");
-    let broken = broken(&reports, |rule| !BY_REFERENCE.contains(&rule));
+    let broken = broken_rules(&reports, |rule| !REFERENCE_RULES.contains(&rule));
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// Each defect of the stand-ins is found, as what it is, on each seed.
+/// The auditor must report each injected defect on each seed, as a violation of the right rule.
 #[test]
-fn the_auditor_finds_what_is_put_in() {
+fn auditor_detects_each_injected_defect() {
     let defects = [
         ("lost-answers", "unanswered"),
         ("late-answers", "late"),
@@ -125,9 +130,9 @@
     });
 }
 
-/// RPCs that go on to silent servers, and levels that proxies ignore, are found on each seed.
+/// RPCs that still go to unresponsive servers, and levels that proxies ignore, must be detected on each seed.
 #[test]
-fn the_reference_finds_what_is_put_in() {
+fn reference_detects_each_injected_defect() {
     let defects = [
         ("lost-ends", "zones", &[["silent", "after_applied"]][..]),
         ("ignored-levels", "releases", &[["queue", "by_queue"], ["cold", "by_cold_server"]][..]),
@@ -153,9 +158,9 @@
     });
 }
 
-/// All RPCs go to the server that started last.
+/// The injected defect sends all RPCs to the server that started last.
 #[test]
-fn a_rush_on_cold_servers_is_found() {
+fn auditor_detects_overload_of_cold_servers() {
     let folder = tempfile::tempdir().unwrap();
     let plan =
         ["--seeds", "61-62", "--for", "16s", "--jobs", "1", "--sabotage", "cold-rush", "--fault", "releases"];
@@ -163,18 +168,21 @@
     assert_eq!(output.status.code(), Some(3), "{output:?}");
     let reports = reports(&output);
     assert_eq!(reports.len(), 2);
-    assert!(reports.iter().all(|r| r["broken_by_rule"]["cold-budget"].as_u64() > Some(0)), "{reports:#?}");
+    assert!(
+        reports.iter().all(|report| report["broken_by_rule"]["cold-budget"].as_u64() > Some(0)),
+        "{reports:#?}"
+    );
 }
 
-/// Figures of later releases compare with those of issue 40 by these scripts.
+/// These scripts must not change, since measurements of later releases are compared with those of issue 40.
 #[test]
-fn scripts_of_the_first_kinds_stay_what_they_were() {
-    let before = [
+fn drawn_scripts_stay_unchanged() {
+    let expected_scripts = [
         (61, 2, 23, "(53.284879974s, Silence { share: 0.25, time: 1.284s })"),
         (62, 2, 24, "(53.017867757s, Silence { share: 0.25, time: 3.67s })"),
         (63, 1, 21, "(52.440477553s, Silence { share: 0.25, time: 2.075s })"),
     ];
-    for (seed, nodes, actions, last) in before {
+    for (seed, nodes, actions, last) in expected_scripts {
         let script = Script::draw(seed, Duration::from_secs(60), &[Trouble::Servers]);
         assert_eq!((script.nodes, script.actions.len()), (nodes, actions), "seed {seed}");
         assert_eq!(format!("{:?}", script.actions.last().unwrap()), last, "seed {seed}");
@@ -182,9 +190,9 @@
 }
 
 #[test]
-fn bad_options_are_named_in_one_line() {
+fn invalid_options_are_named_in_error() {
     let folder = tempfile::tempdir().unwrap();
-    let bad = [
+    let invalid = [
         ["--seeds", "9-1"],
         ["--seeds", "x"],
         ["--for", "3s"],
@@ -194,7 +202,7 @@
         ["--sabotage", "nothing"],
         ["--program", "/nowhere/whinhill"],
     ];
-    for arguments in bad {
+    for arguments in invalid {
         let output = soak(folder.path(), &arguments);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {text}");
