--- a/crates/whinhill-cli/src/bench_decisions.rs
+++ b/crates/whinhill-cli/src/bench_decisions.rs
@@ -6,12 +6,14 @@
 
 use clap::Args;
 use serde::Serialize;
-use whinhill::interface::{Entry, Ep, Event, ListKind, Listed, LoadReport, Order, Settings};
+use whinhill::interface::{
+    EndpointId, Event, ListKind, ListedStatus, LoadReport, Order, ServerEntry, Settings,
+};
 use whinhill::Assigner;
 use whinhill_assigner::process_figures_of;
 use whinhill_names::Names;
-use whinhill_platform::discovery::Asking;
-use whinhill_platform::relay::news::{News, Owed, Place};
+use whinhill_platform::discovery::DiscoveryRequest;
+use whinhill_platform::relay::watch::{PendingWork, RelayWatch, WatchSlot};
 
 use crate::CommandError;
 
@@ -124,13 +126,13 @@
 }
 
 impl SimulatedFleet<'_> {
-    fn endpoint(&self, slot: usize) -> Ep {
-        Ep { index: slot, stable: self.slots[slot].incarnation * 1_000_003 + slot as u64 }
+    fn endpoint(&self, slot: usize) -> EndpointId {
+        EndpointId { index: slot, stable_id: self.slots[slot].incarnation * 1_000_003 + slot as u64 }
     }
 
-    fn entry(&self, slot: usize, listed: Listed) -> Entry {
+    fn entry(&self, slot: usize, status: ListedStatus) -> ServerEntry {
         let started = (self.slots[slot].incarnation > 0).then_some(self.now);
-        Entry { ep: self.endpoint(slot), zone: slot % ZONE_COUNT, listed, size: 1.0, started }
+        ServerEntry { endpoint: self.endpoint(slot), zone: slot % ZONE_COUNT, status, size: 1.0, started }
     }
 
     /// Passes a batch to the module and notes its time, its orders and the acknowledgements that it requests.
@@ -140,7 +142,7 @@
         self.batch_times.push(began.elapsed());
         self.orders += orders.len() as u64;
         self.ack_seqs.extend(orders.iter().filter_map(|order| match order {
-            Order::Mark { mark } => Some(*mark),
+            Order::RequestAck { ack_seq } => Some(*ack_seq),
             _ => None,
         }));
     }
@@ -148,29 +150,30 @@
     /// Passes the first batch: the list, all proxies and all slices.
     fn start(&mut self) {
         let entries = |fleet: &Self| {
-            (0..fleet.args.servers).map(|slot| fleet.entry(slot, Listed::Ready)).collect::<Vec<_>>()
+            (0..fleet.args.servers).map(|slot| fleet.entry(slot, ListedStatus::Ready)).collect::<Vec<_>>()
         };
         let list = |kind| Event::List { kind, entries: entries(self) };
         let mut events = vec![list(ListKind::Stored), list(ListKind::Full)];
         events.extend(
-            (0..self.args.proxies).map(|proxy| Event::Joined { proxy, zone: proxy as usize % ZONE_COUNT }),
+            (0..self.args.proxies)
+                .map(|proxy| Event::ProxyJoined { proxy, zone: proxy as usize % ZONE_COUNT }),
         );
         for slice in 0..self.args.slices {
-            let ep = self.endpoint(slice % self.args.servers);
-            events.extend([Event::Given { slice }, Event::Stored { slice, ep }]);
+            let endpoint = self.endpoint(slice % self.args.servers);
+            events.extend([Event::SliceAcquired { slice }, Event::StoredOwner { slice, endpoint }]);
         }
         self.handle(&events);
     }
 
     /// What the proxies of a zone report of a server in a period.
     fn try_report(&self, slot: usize, zone: usize) -> Event {
-        Event::Met {
-            ep: self.endpoint(slot),
+        Event::TryReport {
+            endpoint: self.endpoint(slot),
             zone,
             tries: 8,
             lost: 0,
-            wait: Duration::from_millis(20),
-            span: REPORT_PERIOD,
+            mean_wait: Duration::from_millis(20),
+            interval: REPORT_PERIOD,
             load: LoadReport::default(),
         }
     }
@@ -184,7 +187,7 @@
             method,
             rpcs: 2 + (slice % 7) as u64,
             lost: 0,
-            span: REPORT_PERIOD,
+            interval: REPORT_PERIOD,
         };
         let demands = (0..self.args.slices)
             .flat_map(|slice| (0..METHOD_COUNT).map(move |method| demand(slice, method)));
@@ -201,7 +204,7 @@
             let transit = REPORT_PERIOD / BATCHES_PER_PERIOD;
             let ack_seqs = std::mem::take(&mut self.ack_seqs);
             let acks = ack_seqs.into_iter().flat_map(|ack_seq| {
-                (0..self.args.proxies).map(move |proxy| Event::Acked { proxy, mark: ack_seq, way: transit })
+                (0..self.args.proxies).map(move |proxy| Event::Acked { proxy, ack_seq, transit })
             });
             let events: Vec<Event> = acks.chain([Event::Timer]).collect();
             self.handle(&events);
@@ -215,16 +218,16 @@
             let former: Vec<usize> = (0..self.slots.len())
                 .filter(|slot| self.slots[*slot].present && slot % RELEASE_PARTS == part)
                 .collect();
-            let mut changes: Vec<Entry> =
-                former.iter().map(|slot| self.entry(*slot, Listed::Draining)).collect();
+            let mut changes: Vec<ServerEntry> =
+                former.iter().map(|slot| self.entry(*slot, ListedStatus::Draining)).collect();
             for slot in former.iter().map(|slot| (slot + servers) % (2 * servers)) {
                 self.slots[slot] =
                     ServerSlot { incarnation: self.slots[slot].incarnation + 1, present: true };
-                changes.push(self.entry(slot, Listed::Ready));
+                changes.push(self.entry(slot, ListedStatus::Ready));
             }
             self.handle(&[Event::List { kind: ListKind::Changes, entries: changes }]);
             (0..PERIODS_PER_PART).for_each(|_| self.run_period());
-            let gone = former.iter().map(|slot| self.entry(*slot, Listed::Gone)).collect();
+            let gone = former.iter().map(|slot| self.entry(*slot, ListedStatus::Gone)).collect();
             former.iter().for_each(|slot| self.slots[*slot].present = false);
             self.handle(&[Event::List { kind: ListKind::Changes, entries: gone }]);
         }
@@ -258,18 +261,26 @@
     let slices = (0..args.slices)
         .map(|slice| format!("* lease {slice} 1\r\n* line {slice} s-{:08x} 1.0\r\n", server(slice)));
     let text: String = std::iter::once("OK\r\n".to_string()).chain(proxies).chain(slices).collect();
-    let (mut news, mut names, mut events) = (News::default(), Names::new(settings), Vec::new());
-    news.opened(Place::Current, Duration::ZERO);
+    let (mut relay_watch, mut names, mut events) = (RelayWatch::default(), Names::new(settings), Vec::new());
+    relay_watch.on_connected(WatchSlot::Current, Duration::ZERO);
     let began = Instant::now();
-    let nothing_pending = |_| Owed::Nothing;
-    news.take(Place::Current, Duration::ZERO, text.as_bytes(), &mut names, nothing_pending, &mut events)
+    let nothing_pending = |_| PendingWork::Nothing;
+    relay_watch
+        .receive(
+            WatchSlot::Current,
+            Duration::ZERO,
+            text.as_bytes(),
+            &mut names,
+            nothing_pending,
+            &mut events,
+        )
         .map_err(CommandError::runtime)?;
     let took = began.elapsed();
-    if news.proxies() != args.proxies as usize || news.slices() != args.slices {
+    if relay_watch.proxy_count() != args.proxies as usize || relay_watch.slice_count() != args.slices {
         return Err(CommandError::Runtime(format!(
             "{} proxies and {} slices read",
-            news.proxies(),
-            news.slices()
+            relay_watch.proxy_count(),
+            relay_watch.slice_count()
         )));
     }
     Ok(took)
@@ -289,11 +300,11 @@
     let line = format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}}\n", servers.join(","));
     let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n", line.len());
     let began = Instant::now();
-    let answer = Asking::watch().take(text.as_bytes());
+    let answer = DiscoveryRequest::watch().receive(text.as_bytes());
     let took = began.elapsed();
     match answer.lists.first() {
         Some(list) if list.servers.len() == args.servers => Ok(took),
-        _ => Err(CommandError::Runtime(format!("the list was not read: {:?}", answer.fault))),
+        _ => Err(CommandError::Runtime(format!("the list was not read: {:?}", answer.error))),
     }
 }
 
--- a/crates/whinhill-cli/src/lifecycle.rs
+++ b/crates/whinhill-cli/src/lifecycle.rs
@@ -8,7 +8,7 @@
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 use whinhill_assigner::Retry;
-use whinhill_errors::may_pass_on_disk;
+use whinhill_errors::is_temporary_file_error;
 
 use crate::CommandError;
 
@@ -46,8 +46,11 @@
     let temporary = path.with_extension("new");
     let write =
         || std::fs::write(&temporary, addr.to_string()).and_then(|()| std::fs::rename(&temporary, path));
-    let written =
-        Retry { within: Duration::MAX, stop }.until_done("writing the address", may_pass_on_disk, write);
+    let written = Retry { within: Duration::MAX, stop }.until_done(
+        "writing the address",
+        is_temporary_file_error,
+        write,
+    );
     match written {
         Err(_) if stop.load(Ordering::Relaxed) => Ok(()),
         written => written.map_err(|error| CommandError::Runtime(format!("{}: {error}", path.display()))),
--- a/crates/whinhill-cli/src/reports/baseline.rs
+++ b/crates/whinhill-cli/src/reports/baseline.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use whinhill::interface::{Ep, Event, LoadReport, MethodId, SliceId, ZoneId};
+use whinhill::interface::{EndpointId, Event, LoadReport, MethodId, SliceId, ZoneId};
 use whinhill_xds::mapping::{server_name, Service};
 use whinhill_xds::proto;
 
@@ -121,7 +121,12 @@
     }
 
     /// Returns the lines due now: once per period, the oldest sums first, up to the cap.
-    pub fn output_due(&mut self, now: Duration, names: &Names, endpoint: impl Fn(usize) -> Ep) -> Vec<Event> {
+    pub fn output_due(
+        &mut self,
+        now: Duration,
+        names: &Names,
+        endpoint: impl Fn(usize) -> EndpointId,
+    ) -> Vec<Event> {
         if now < self.next_output {
             return Vec::new();
         }
@@ -135,22 +140,18 @@
             let Some(sum) = self.sums.remove(&key) else { continue };
             let interval = sum.interval(now);
             events.push(match key {
-                Key::Slice { slice, method } => Event::Demand {
-                    slice,
-                    method,
-                    rpcs: sum.tries,
-                    lost: sum.lost.min(sum.tries),
-                    span: interval,
-                },
+                Key::Slice { slice, method } => {
+                    Event::Demand { slice, method, rpcs: sum.tries, lost: sum.lost.min(sum.tries), interval }
+                }
                 Key::Server { server, zone } => {
                     debug_assert!(server < names.servers());
-                    Event::Met {
-                        ep: endpoint(server),
+                    Event::TryReport {
+                        endpoint: endpoint(server),
                         zone,
                         tries: sum.tries,
                         lost: sum.lost,
-                        wait: Duration::ZERO,
-                        span: interval,
+                        mean_wait: Duration::ZERO,
+                        interval,
                         load: LoadReport::default(),
                     }
                 }
--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -19,7 +19,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
-use whinhill::interface::{Ep, Event};
+use whinhill::interface::{EndpointId, Event};
 use whinhill_assigner::{event, process_figures_of, read_report, Names};
 use whinhill_reports::{Hearing, Intake, Key, Limits as IntakeLimits};
 use whinhill_transport::{
@@ -399,9 +399,10 @@
     fn update(&mut self, now: Duration, events: &[Event], true_shares: &[f64], period: u64, rate: f64) {
         self.lines.push((now, events.len()));
         for event in events {
-            if let Event::Met { ep, zone, tries, span, .. } = event {
-                let rate = *tries as f64 / span.as_secs_f64().max(1e-3);
-                let smoothed = self.rates.entry(Key::Met { server: ep.index, zone: *zone }).or_insert(rate);
+            if let Event::TryReport { endpoint, zone, tries, interval, .. } = event {
+                let rate = *tries as f64 / interval.as_secs_f64().max(1e-3);
+                let smoothed =
+                    self.rates.entry(Key::Met { server: endpoint.index, zone: *zone }).or_insert(rate);
                 *smoothed += (rate - *smoothed) * SMOOTHING_FACTOR;
             }
         }
@@ -490,7 +491,7 @@
     let settings = fleet.settings;
     let mut names = Names::new(&[]);
     for server in 0..settings.servers {
-        names.ep(&server_name(server));
+        names.endpoint(&server_name(server));
     }
     let zone = names.zone("z");
     let limits = IntakeLimits {
@@ -501,7 +502,7 @@
     let mut intake = Intake::new(limits, settings.seed);
     let mut baseline = BaselineIntake::new(settings.lines_per_s, settings.period);
     let (mut current_view, mut baseline_view) = (ModuleView::default(), ModuleView::default());
-    let endpoint = |index: usize| Ep { index, stable: 0 };
+    let endpoint = |index: usize| EndpointId { index, stable_id: 0 };
     let histogram = Histogram::new_with_bounds(1, 60_000_000, 3);
     let mut results = IntakeResults {
         now: Figures::default(),
--- a/crates/whinhill-cli/src/table_soak.rs
+++ b/crates/whinhill-cli/src/table_soak.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
-use whinhill::interface::{Ep, Order};
+use whinhill::interface::{EndpointId, Order};
 use whinhill_assigner::{Batch, Chronicle, HistoryFile, Kept};
 use whinhill_history::BookError;
 use whinhill_tables::rollback::{Fleet, Rollback, Standing};
@@ -329,8 +329,8 @@
         if self.handovers.contains_key(&slice) {
             return Ok(());
         }
-        let ep = Ep::default();
-        self.publisher.apply(&[Order::Revoke { slice, ep }], |_| None);
+        let endpoint = EndpointId::default();
+        self.publisher.apply(&[Order::Revoke { slice, endpoint }], |_| None);
         self.handovers.insert(slice, Handover { grant_from: self.step + HANDOVER_STEPS, to });
         self.record([slice].into(), BTreeSet::new(), None)
     }
@@ -356,7 +356,7 @@
             let Some(Handover { to, .. }) = self.handovers.remove(&slice) else { continue };
             let to = to.unwrap_or_else(|| server_name(self.rng.random_range(0..SERVER_COUNT)));
             let index = (0..SERVER_COUNT).find(|number| server_name(*number) == to).unwrap_or(0);
-            let order = Order::Grant { slice, ep: Ep { index, stable: 0 } };
+            let order = Order::Grant { slice, endpoint: EndpointId { index, stable_id: 0 } };
             self.pending_grants
                 .extend(self.publisher.apply(&[order], |index| Some(server_name(index))).grants);
         }
@@ -437,7 +437,7 @@
             200..=399 => {
                 let slice = self.rng.random_range(0..self.store.len());
                 let (share, methods) = (f64::from(self.rng.random_range(1..=20u32)) / 20.0, 1);
-                let order = Order::Level { slice, share, methods, tries: 0 };
+                let order = Order::Level { slice, level: share, methods, tries: 0 };
                 let slices = self.publisher.apply(&[order], |_| None).slices;
                 self.record(slices, BTreeSet::new(), None)?;
             }
