--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -14,7 +14,7 @@
 use tracing::{error, info, warn};
 use whinhill::interface::{ProxyId, SettingsError, SliceId};
 use whinhill_errors::is_temporary_file_error;
-use whinhill_history::BookError;
+use whinhill_history::HistoryDbError;
 use whinhill_store::{Custody, CustodyConfig, Identity, RespConfig, RespStore, Store};
 use whinhill_tables::PendingGrant;
 use whinhill_transport::{Code, Drivers, Limits, Listener, ServerCall, Trailers, Workers};
@@ -67,7 +67,7 @@
     #[error("cannot listen on {addr}: {error}")]
     Listen { addr: SocketAddr, error: io::Error },
     #[error("{path}: {error}")]
-    History { path: String, error: BookError },
+    History { path: String, error: HistoryDbError },
     #[error("cannot start: {0}")]
     Io(#[from] io::Error),
 }
@@ -116,7 +116,7 @@
         let store = RespStore::new(RespConfig {
             addr: config.store.addr,
             prefix: format!("{}/{}", config.store.prefix, config.service.name),
-            within: Duration::from_millis(config.store.within_ms),
+            timeout: Duration::from_millis(config.store.within_ms),
         });
         let seed = config.seed.unwrap_or_else(|| rand::rng().random());
         let life = rand::rng().random();
@@ -201,12 +201,12 @@
         let custody_thread = CustodyThread {
             store: Box::new(store) as Box<dyn Store>,
             custody: Custody::new(CustodyConfig {
-                me: Identity { name: config.name.clone(), life },
+                identity: Identity { name: config.name.clone(), incarnation: life },
                 peers: config.peers.clone(),
                 slices: config.service.slices,
                 ttl: ms(config.custody.ttl_ms),
-                margin: ms(config.custody.margin_ms),
-                step: config.custody.step,
+                lease_margin: ms(config.custody.margin_ms),
+                max_slices_per_round: config.custody.step,
             }),
             lease: custody_lease,
             grants: grants_for_store,
@@ -644,9 +644,9 @@
         self.status.backlog = self.channel.queued_lines();
         (self.status.full_lines_sent, self.status.full_sets_waited) = self.hub.full_sets();
         self.status.versions = self.core.history_recorder().history().current().id().number;
-        self.status.history_kb = (self.core.history_recorder().history().bytes() / 1024) as u64;
+        self.status.history_kb = (self.core.history_recorder().history().estimated_bytes() / 1024) as u64;
         self.status.backlog_most = self.channel.max_queued_lines();
-        self.status.grants_waiting = self.core.publisher().waiting() as u64;
+        self.status.grants_waiting = self.core.publisher().pending_grants() as u64;
         self.status.bytes_sent = get(&self.counters.bytes);
         self.status.store_failures = get(&self.counters.store_failures);
         let (ledger, queued_tries, shown) = self.core.load_reports();
@@ -655,9 +655,9 @@
         self.status.reports_waiting = queued_tries;
         self.status.reports_late = ledger.late;
         self.status.reports_doubted = ledger.doubted;
-        self.status.reports_heard_percent = (shown.heard * 1000.0).round() / 10.0;
-        self.status.reports_lag_ms_most = shown.lag_most.as_millis() as u64;
-        let [_, _, silent, cut] = shown.proxies;
+        self.status.reports_heard_percent = (shown.coverage * 1000.0).round() / 10.0;
+        self.status.reports_lag_ms_most = shown.max_lag.as_millis() as u64;
+        let [_, _, silent, cut] = shown.proxies_by_state;
         (self.status.proxies_silent, self.status.proxies_cut) = (silent as u64, cut as u64);
         let (ack_latency, full_ack_latency) = self.core.ack_latencies();
         let quantile = |of: &hdrhistogram::Histogram<u64>, q: f64| of.value_at_quantile(q);
--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -10,10 +10,10 @@
     EndpointId, Event, Health, ListKind, ListedStatus, LoadReport, Order, ProbeOutcome, ProxyId, ServerEntry,
     SettingsError, SliceId,
 };
-use whinhill_reports::{Hearing, Intake, Ledger, Shown};
-use whinhill_store::Told;
-use whinhill_tables::rollback::{Fleet, Rollback, Standing};
-use whinhill_tables::{History, Keeper, PendingGrant, ServerName, TableSet};
+use whinhill_reports::{IntakeStats, Ledger, ReportAggregator, ReportingState};
+use whinhill_store::CustodyEvent;
+use whinhill_tables::rollback::{Rollback, ServerStatus, ServerView};
+use whinhill_tables::{History, PendingGrant, ServerName, TablePublisher, TableSet};
 use whinhill_xds::mapping::Service;
 use whinhill_xds::proto;
 
@@ -46,7 +46,7 @@
     /// A probe of a server ended.
     ProbeCompleted { server: ServerName, result: ProbeOutcome, load: LoadReport },
     /// Slices were acquired or released.
-    Custody { events: Vec<Told> },
+    Custody { events: Vec<CustodyEvent> },
     /// The store holds a grant.
     GrantStored { grant: PendingGrant },
     /// The history file holds every update up to this number.
@@ -101,8 +101,8 @@
 pub struct Core {
     module: whinhill::Assigner,
     names: Names,
-    publisher: Keeper,
-    intake: Intake,
+    publisher: TablePublisher,
+    reports: ReportAggregator,
     service: Arc<Service>,
     /// The stream of each proxy that has joined.
     joined_streams: BTreeMap<ProxyId, u64>,
@@ -139,19 +139,19 @@
     names: &'a Names,
 }
 
-impl Fleet for ModuleServerView<'_> {
-    fn standing(&self, server: &str) -> Standing {
+impl ServerView for ModuleServerView<'_> {
+    fn server_status(&self, server: &str) -> ServerStatus {
         match self.names.known(server).map(|index| self.module.health(index)) {
-            None => Standing::Unknown,
-            Some(Health::Ready) => Standing::Ready,
-            Some(Health::Cold) => Standing::Cold,
-            Some(Health::Sick) => Standing::Sick,
-            Some(Health::Draining) => Standing::Draining,
-            Some(Health::Gone) => Standing::Gone,
+            None => ServerStatus::Unknown,
+            Some(Health::Ready) => ServerStatus::Ready,
+            Some(Health::Cold) => ServerStatus::Cold,
+            Some(Health::Sick) => ServerStatus::Sick,
+            Some(Health::Draining) => ServerStatus::Draining,
+            Some(Health::Gone) => ServerStatus::Gone,
         }
     }
 
-    fn moving(&self, slice: SliceId) -> bool {
+    fn has_handover(&self, slice: SliceId) -> bool {
         self.module.has_handover(slice)
     }
 }
@@ -164,8 +164,8 @@
         Ok(Core {
             module: whinhill::Assigner::new(&config.settings(), seed)?,
             names: Names::new(&config.zones),
-            publisher: Keeper::new(service.slices, writes, config.service.tries),
-            intake: Intake::new(
+            publisher: TablePublisher::new(service.slices, writes, config.service.tries),
+            reports: ReportAggregator::new(
                 whinhill_reports::Limits {
                     period: Duration::from_millis(config.report_period_ms),
                     lines_per_s: config.report_lines_per_s,
@@ -220,7 +220,7 @@
     }
 
     /// The published tables.
-    pub fn publisher(&self) -> &Keeper {
+    pub fn publisher(&self) -> &TablePublisher {
         &self.publisher
     }
 
@@ -236,7 +236,7 @@
 
     /// Report lines since the start that name an unknown cluster or server.
     pub fn unreadable_report_lines(&self) -> u64 {
-        self.intake.ledger().strange
+        self.reports.ledger().strange
     }
 
     /// When to call [`Core::handle`] next even if nothing happens.
@@ -318,11 +318,11 @@
             EndpointId { index, stable_id }
         };
         if self.started {
-            let report_lines = self.intake.give(now);
+            let report_lines = self.reports.output_due_lines(now);
             events.extend(report_lines.iter().map(|line| event(line, endpoint)));
-            let load_unknown = self.intake.blind();
+            let load_unknown = self.reports.is_coverage_too_low();
             if load_unknown != std::mem::replace(&mut self.load_unknown, load_unknown) {
-                effects.log.push(load_state_message(load_unknown, self.intake.shown()));
+                effects.log.push(load_state_message(load_unknown, self.reports.stats()));
             }
         }
         if now >= self.next_wake {
@@ -398,21 +398,21 @@
             Input::Report { proxy, zone, report } => {
                 let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
                 let report = read_report(id, zone, &report, &self.service, &self.names);
-                self.intake.take(now, report);
-                let interval = self.intake.interval(id);
+                self.reports.add_report(now, report);
+                let interval = self.reports.reporting_interval(id);
                 // The interval outlives the proxy's streams: the hub sends it again on each new stream.
-                let before = self.report_intervals.insert(id, interval).unwrap_or(self.intake.period());
+                let before = self.report_intervals.insert(id, interval).unwrap_or(self.reports.period());
                 if before != interval {
                     effects.report_intervals.push((id, interval));
                 }
             }
             Input::ReportStreamOpened { proxy, zone } => {
                 let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
-                self.intake.opened(now, id, zone);
+                self.reports.stream_opened(now, id, zone);
             }
             Input::ReportStreamClosed { proxy } => {
                 let id = self.names.proxy_id(&proxy);
-                self.intake.closed(now, id);
+                self.reports.stream_closed(now, id);
             }
             Input::ProbeCompleted { server, result, load } => {
                 events.push(Event::Probed { endpoint: self.names.endpoint(&server), result, load });
@@ -423,10 +423,10 @@
                 }
             }
             Input::GrantStored { grant } => {
-                let changed = self.publisher.granted(&grant);
+                let changed = self.publisher.grant_stored(&grant);
                 effects
                     .log
-                    .extend(changed.faults.iter().map(|violation| format!("not published: {violation}")));
+                    .extend(changed.violations.iter().map(|violation| format!("not published: {violation}")));
                 granted.extend(changed.slices);
             }
             Input::HistoryPersisted { seq } => {
@@ -439,24 +439,25 @@
     }
 
     /// What became of the reported tries, how many are queued, and the figures for operators.
-    pub fn load_reports(&self) -> (&Ledger, u64, &Shown) {
-        (self.intake.ledger(), self.intake.waiting(), self.intake.shown())
+    pub fn load_reports(&self) -> (&Ledger, u64, &IntakeStats) {
+        (self.reports.ledger(), self.reports.held_tries(), self.reports.stats())
     }
 
     /// The answer to a request for the state of load reporting.
     fn reports_answer(&self, now: Duration) -> Answer {
-        let (ledger, shown) = (*self.intake.ledger(), *self.intake.shown());
-        let proxy_line = |(id, hearing, late, rate): (ProxyId, Hearing, Duration, Option<f64>)| ReportsLine {
-            proxy: self.names.proxy_name(id).to_string(),
-            hearing: hearing.name().to_string(),
-            late_ms: late.as_millis() as u64,
-            tries_per_s: rate.unwrap_or(0.0),
-        };
+        let (ledger, shown) = (*self.reports.ledger(), *self.reports.stats());
+        let proxy_line =
+            |(id, hearing, late, rate): (ProxyId, ReportingState, Duration, Option<f64>)| ReportsLine {
+                proxy: self.names.proxy_name(id).to_string(),
+                hearing: hearing.name().to_string(),
+                late_ms: late.as_millis() as u64,
+                tries_per_s: rate.unwrap_or(0.0),
+            };
         Answer::Reports(Box::new(ReportsAnswer {
             reports: ledger.reports,
             offered: ledger.offered,
             given: ledger.given,
-            waiting: self.intake.waiting(),
+            waiting: self.reports.held_tries(),
             late: ledger.late,
             repeated: ledger.repeated,
             doubted: ledger.doubted,
@@ -464,16 +465,16 @@
             strange: ledger.strange,
             mended: ledger.mended,
             thinned: ledger.thinned,
-            conserved: ledger.conserved(self.intake.waiting()),
-            lines_ready: shown.ready,
-            lines_given: shown.given,
-            lines_unsure: shown.unsure,
-            error_most: shown.error_most,
-            heard: shown.heard,
+            conserved: ledger.conserved(self.reports.held_tries()),
+            lines_ready: shown.ready_lines,
+            lines_given: shown.output_lines,
+            lines_unsure: shown.held_back_lines,
+            error_most: shown.max_relative_error,
+            heard: shown.coverage,
             blind: self.load_unknown,
-            lag_ms_middle: shown.lag_middle.as_millis() as u64,
-            lag_ms_most: shown.lag_most.as_millis() as u64,
-            proxies: self.intake.proxies(now).into_iter().map(proxy_line).collect(),
+            lag_ms_middle: shown.median_lag.as_millis() as u64,
+            lag_ms_most: shown.max_lag.as_millis() as u64,
+            proxies: self.reports.proxies(now).into_iter().map(proxy_line).collect(),
         }))
     }
 
@@ -502,7 +503,7 @@
     /// The module's entry for a server of the list.
     fn server_entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> ServerEntry {
         let server: ServerName = entry.addr.to_string().into();
-        self.publisher.know(server.clone());
+        self.publisher.add_known_server(server.clone());
         ServerEntry {
             endpoint: self.names.endpoint(&server),
             zone: self.names.zone(&entry.zone),
@@ -516,11 +517,16 @@
     }
 
     /// Applies the acquisition or release of a slice.
-    fn apply_custody_event(&mut self, custody_event: Told, events: &mut Vec<Event>, effects: &mut Effects) {
+    fn apply_custody_event(
+        &mut self,
+        custody_event: CustodyEvent,
+        events: &mut Vec<Event>,
+        effects: &mut Effects,
+    ) {
         match custody_event {
-            Told::Given { slice, epoch, owner } => {
+            CustodyEvent::Acquired { slice, epoch, owner } => {
                 let owner: Option<ServerName> = owner.map(Into::into);
-                self.publisher.give(slice, epoch, owner.clone());
+                self.publisher.acquire_slice(slice, epoch, owner.clone());
                 events.push(Event::SliceAcquired { slice });
                 if let Some(owner) = owner {
                     events.push(Event::StoredOwner { slice, endpoint: self.names.endpoint(&owner) });
@@ -528,9 +534,9 @@
                 effects.released.remove(&slice);
                 effects.acquired.insert(slice);
             }
-            Told::Taken { slice } => {
-                self.publisher.take(slice);
-                self.intake.drop_slice(slice);
+            CustodyEvent::Released { slice } => {
+                self.publisher.release_slice(slice);
+                self.reports.drop_slice(slice);
                 events.push(Event::SliceReleased { slice });
                 effects.acquired.remove(&slice);
                 effects.changed.remove(&slice);
@@ -555,7 +561,7 @@
             return;
         }
         let outcome = self.publisher.apply(&revokes, |_| None);
-        effects.log.extend(outcome.faults.iter().map(|violation| format!("not published: {violation}")));
+        effects.log.extend(outcome.violations.iter().map(|violation| format!("not published: {violation}")));
         effects.lines_per_proxy += outcome.slices.len() as u32;
         effects.safety |= outcome.safety;
         effects.changed.extend(outcome.slices);
@@ -566,7 +572,7 @@
         self.revoke_leaving_owners(orders, effects);
         let names = &self.names;
         let changed = self.publisher.apply(orders, |index| names.server(index));
-        effects.log.extend(changed.faults.iter().map(|violation| format!("not published: {violation}")));
+        effects.log.extend(changed.violations.iter().map(|violation| format!("not published: {violation}")));
         effects.changed.extend(changed.slices);
         effects.safety |= changed.safety;
         self.grants_ordered += changed.grants.len() as u64;
@@ -614,13 +620,13 @@
 }
 
 /// The log line for when reported load becomes too little to decide on, or enough again.
-fn load_state_message(load_unknown: bool, shown: &Shown) -> String {
-    let [heard, quiet, silent, cut] = shown.proxies;
+fn load_state_message(load_unknown: bool, shown: &IntakeStats) -> String {
+    let [heard, quiet, silent, cut] = shown.proxies_by_state;
     let state =
         if load_unknown { "too little is heard: nothing is decided on it" } else { "enough is heard again" };
     format!(
         "load reports: {state}; {:.0}% of the expected load, {heard} proxies heard, {quiet} quiet, {silent} silent, {cut} cut",
-        shown.heard * 100.0
+        shown.coverage * 100.0
     )
 }
 
--- a/crates/whinhill-assigner/src/core/tests.rs
+++ b/crates/whinhill-assigner/src/core/tests.rs
@@ -48,7 +48,7 @@
 }
 
 fn acquired(slice: SliceId, owner: Option<&str>) -> Input {
-    Input::Custody { events: vec![Told::Given { slice, epoch: 3, owner: owner.map(Into::into) }] }
+    Input::Custody { events: vec![CustodyEvent::Acquired { slice, epoch: 3, owner: owner.map(Into::into) }] }
 }
 
 /// A core that has run for a while: slice 0 at server 1, two servers ready, proxy p joined by stream 1.
@@ -155,7 +155,8 @@
 #[test]
 fn end_of_custody_removes_tables_and_later_acks_change_nothing() {
     let (mut core, ack_seq) = drained();
-    let effects = core.handle(s(8.0), vec![Input::Custody { events: vec![Told::Taken { slice: 0 }] }]);
+    let effects =
+        core.handle(s(8.0), vec![Input::Custody { events: vec![CustodyEvent::Released { slice: 0 }] }]);
     assert!(effects.released.contains(&0) && core.publisher().published().is_empty());
     let effects = core.handle(s(8.1), vec![acked("p", 1, ack_seq)]);
     assert!(effects.changed.is_empty() && effects.grants.is_empty());
@@ -233,14 +234,14 @@
     };
     let reported = read("t/0.2/look", "10.0.0.1:7", 3);
     let lines: Vec<_> = reported.lines.iter().map(|l| (l.key, l.figures.tries, l.figures.lost)).collect();
-    let (demand, endpoint) = (Key::Came { slice: 0, method: 0 }, Key::Met { server: 0, zone: 0 });
+    let (demand, endpoint) = (Key::Slice { slice: 0, method: 0 }, Key::Server { server: 0, zone: 0 });
     assert_eq!(lines, [(demand, 5, 1), (endpoint, 3, 1)]);
-    assert_eq!((reported.strange, reported.stretch), (0, Some(Duration::from_millis(500))));
+    assert_eq!((reported.unresolved_lines, reported.interval), (0, Some(Duration::from_millis(500))));
     // A server that was on no list is ignored: a peer can't fill the assigner's memory with names.
-    assert_eq!(read("t/0.2/look", "10.0.0.99:7", 3).strange, 1);
-    assert_eq!(read("other/9.2/look", "10.0.0.1:7", 3).strange, 1);
+    assert_eq!(read("t/0.2/look", "10.0.0.99:7", 3).unresolved_lines, 1);
+    assert_eq!(read("other/9.2/look", "10.0.0.1:7", 3).unresolved_lines, 1);
     // A cluster name for another number of slices is unknown.
-    assert_eq!(read("t/0.3/look", "10.0.0.1:7", 3).strange, 1);
+    assert_eq!(read("t/0.3/look", "10.0.0.1:7", 3).unresolved_lines, 1);
 }
 
 #[test]
--- a/crates/whinhill-assigner/src/custody_thread.rs
+++ b/crates/whinhill-assigner/src/custody_thread.rs
@@ -7,7 +7,7 @@
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use tracing::{info, warn};
-use whinhill_store::{Custody, Outcome, Store, StoreFault, Swap, Told};
+use whinhill_store::{Custody, CustodyEvent, Outcome, Store, StoreError, Swap};
 use whinhill_tables::PendingGrant;
 
 use crate::core::Input;
@@ -81,11 +81,11 @@
                 Err(RecvTimeoutError::Disconnected) => break,
             }
         }
-        let events = self.custody.leave();
+        let events = self.custody.release_all();
         self.publish(events, true);
         self.store_releases();
         self.lease.set(None);
-        let _ = self.store.vanish(&self.custody.config().me.clone());
+        let _ = self.store.deregister(&self.custody.config().identity.clone());
     }
 
     /// Drops all custody once the lease has ended by this assigner's own clock.
@@ -100,8 +100,8 @@
     }
 
     /// Sends custody events to the decision thread; with `wait`, waits until it no longer acts on released slices.
-    fn publish(&mut self, events: Vec<Told>, wait: bool) {
-        self.lease.set(self.custody.until());
+    fn publish(&mut self, events: Vec<CustodyEvent>, wait: bool) {
+        self.lease.set(self.custody.lease_end());
         if events.is_empty() {
             return;
         }
@@ -112,11 +112,11 @@
             let _ = handled.recv_timeout(self.custody.config().ttl);
         }
         // On a stop the decision thread ends once no slice is held, so this is set only after it has the events.
-        self.counters.slices.store(self.custody.count() as u64, Ordering::Relaxed);
+        self.counters.slices.store(self.custody.held_count() as u64, Ordering::Relaxed);
     }
 
     /// Counts a failed exchange, and logs the first one after a success.
-    fn log_failure(&mut self, what: &str, fault: &StoreFault) {
+    fn log_failure(&mut self, what: &str, fault: &StoreError) {
         Counters::add(&self.counters.store_failures, 1);
         if std::mem::replace(&mut self.store_healthy, false) {
             warn!(what, %fault, "the store fails");
@@ -130,12 +130,12 @@
         if !self.list_published.load(Ordering::Acquire) {
             return;
         }
-        let (identity, ttl) = (self.custody.config().me.clone(), self.custody.config().ttl);
+        let (identity, ttl) = (self.custody.config().identity.clone(), self.custody.config().ttl);
         let sent = self.now();
         let renewal = if self.registered {
             self.store.renew(&identity, ttl)
         } else {
-            self.store.appear(&identity, ttl)
+            self.store.register(&identity, ttl)
         };
         match renewal {
             Outcome::Done(()) => {
@@ -143,12 +143,12 @@
                     info!(life = %identity, "liveness key is in the store");
                 }
                 self.store_healthy = true;
-                self.custody.renewed(sent);
-                self.lease.set(self.custody.until());
+                self.custody.on_lease_renewed(sent);
+                self.lease.set(self.custody.lease_end());
             }
-            Outcome::NotDone(StoreFault::LifeLost) => {
+            Outcome::NotDone(StoreError::LeaseLost) => {
                 self.registered = false;
-                let events = self.custody.lost();
+                let events = self.custody.on_lease_lost();
                 warn!(slices = events.len(), "liveness key is gone from the store: all custody is lost");
                 return self.publish(events, false);
             }
@@ -160,7 +160,7 @@
         let asked = self.now();
         match self.store.read(&peers, slices) {
             Outcome::Done((alive, records)) => {
-                let (events, claims) = self.custody.read(asked, &alive, &records);
+                let (events, claims) = self.custody.reconcile(asked, &alive, &records);
                 self.publish(events, true);
                 self.store_releases();
                 self.store_claims(&claims);
@@ -171,17 +171,17 @@
 
     /// Stores the releases that the custody rules have pending.
     fn store_releases(&mut self) {
-        let releases = self.custody.releases();
+        let releases = self.custody.pending_releases();
         if releases.is_empty() {
             return;
         }
-        match self.store.swap(&releases) {
-            Outcome::Done(true) => self.custody.released(&releases),
+        match self.store.compare_and_swap(&releases) {
+            Outcome::Done(true) => self.custody.on_released(&releases),
             // One of the records has changed meanwhile: each release is tried by itself.
             Outcome::Done(false) => {
                 for release in &releases {
-                    if let Outcome::Done(_) = self.store.swap(std::slice::from_ref(release)) {
-                        self.custody.released(std::slice::from_ref(release));
+                    if let Outcome::Done(_) = self.store.compare_and_swap(std::slice::from_ref(release)) {
+                        self.custody.on_released(std::slice::from_ref(release));
                     }
                 }
             }
@@ -194,11 +194,12 @@
         if claims.is_empty() {
             return;
         }
-        let claimed = match self.store.swap(claims) {
+        let claimed = match self.store.compare_and_swap(claims) {
             Outcome::Done(true) => claims.to_vec(),
             Outcome::Done(false) => {
-                let is_stored =
-                    |swap: &&Swap| self.store.swap(std::slice::from_ref(*swap)) == Outcome::Done(true);
+                let is_stored = |swap: &&Swap| {
+                    self.store.compare_and_swap(std::slice::from_ref(*swap)) == Outcome::Done(true)
+                };
                 claims.iter().filter(is_stored).cloned().collect()
             }
             // A claim that was stored after all shows in the next reading.
@@ -208,9 +209,9 @@
             }
         };
         let now = self.now();
-        let events = self.custody.claimed(now, &claimed);
+        let events = self.custody.on_claimed(now, &claimed);
         if !events.is_empty() {
-            info!(slices = events.len(), ours = self.custody.count(), "custody acquired");
+            info!(slices = events.len(), ours = self.custody.held_count(), "custody acquired");
         }
         self.publish(events, false);
     }
@@ -224,20 +225,20 @@
             // leaves.
             if swaps.iter().any(|(held, _)| held.slice == grant.slice) {
                 deferred.push(grant);
-            } else if let Some(swap) = self.custody.grant(grant.slice, grant.epoch, &grant.owner) {
+            } else if let Some(swap) = self.custody.grant_swap(grant.slice, grant.epoch, &grant.owner) {
                 swaps.push((grant, swap));
             }
         }
         let all: Vec<Swap> = swaps.iter().map(|(_, swap)| swap.clone()).collect();
         if !all.is_empty() {
-            match self.store.swap(&all) {
+            match self.store.compare_and_swap(&all) {
                 Outcome::Done(true) => {
                     swaps.into_iter().for_each(|(grant, swap)| self.grant_stored(grant, &swap))
                 }
                 Outcome::Done(false) => {
                     let mut lost = Vec::new();
                     for (grant, swap) in swaps {
-                        match self.store.swap(std::slice::from_ref(&swap)) {
+                        match self.store.compare_and_swap(std::slice::from_ref(&swap)) {
                             Outcome::Done(true) => self.grant_stored(grant, &swap),
                             _ => lost.push(swap),
                         }
@@ -257,7 +258,7 @@
 
     /// Passes a stored grant to the decision thread, if custody still holds.
     fn grant_stored(&mut self, grant: PendingGrant, swap: &Swap) {
-        self.custody.granted(swap);
+        self.custody.on_granted(swap);
         // If the store's answer came after the end of the lease, the grant is not published.
         if self.custody.expire(self.now()).is_empty() && self.custody.holds(grant.slice) {
             let _ = self.inputs.send((Input::GrantStored { grant }, None));
@@ -266,7 +267,7 @@
 
     /// Releases the slices of grants that were not stored or whose outcome is unknown.
     fn release_after_unknown_outcome(&mut self, swaps: &[Swap]) {
-        let events = self.custody.unknown(swaps);
+        let events = self.custody.on_unknown_outcome(swaps);
         warn!(
             slices = events.len(),
             "grants were not stored, or their outcome is unknown: their slices are released"
--- a/crates/whinhill-assigner/src/history_file.rs
+++ b/crates/whinhill-assigner/src/history_file.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
-use whinhill_history::{Book, BookError};
+use whinhill_history::{HistoryDb, HistoryDbError};
 use whinhill_tables::rollback::Rollback;
 use whinhill_tables::{History, Limits};
 
@@ -24,7 +24,7 @@
     path: PathBuf,
     limits: Limits,
     /// `None` after a failure: the file is reopened, since a database that failed in a write accepts no further one.
-    db: Option<Book>,
+    db: Option<HistoryDb>,
     pending: Option<NumberedUpdate>,
 }
 
@@ -38,8 +38,8 @@
     ///
     /// # Errors
     /// When the disk refuses, or the file is not a history.
-    pub fn open(path: &Path, limits: Limits) -> Result<(Self, History, Vec<Rollback>), BookError> {
-        let (db, history) = Book::open(path, limits)?;
+    pub fn open(path: &Path, limits: Limits) -> Result<(Self, History, Vec<Rollback>), HistoryDbError> {
+        let (db, history) = HistoryDb::open(path, limits)?;
         let rollbacks = db.rollbacks()?;
         let file = HistoryFile { db: Some(db), ..Self::unopened(path, limits) };
         Ok((file, history, rollbacks))
@@ -53,8 +53,8 @@
         path: &Path,
         limits: Limits,
         retry: &Retry<'_>,
-    ) -> Result<(Self, History, Vec<Rollback>), BookError> {
-        retry.until_done("opening the history", BookError::may_pass, || Self::open(path, limits))
+    ) -> Result<(Self, History, Vec<Rollback>), HistoryDbError> {
+        retry.until_done("opening the history", HistoryDbError::is_transient, || Self::open(path, limits))
     }
 
     /// Where the file is.
@@ -74,9 +74,9 @@
 
     /// Persists the pending update; `None` if there is none. After an error none of it is known to be persisted, and
     /// all of it stays pending.
-    pub fn keep(&mut self) -> Result<Option<Kept>, BookError> {
+    pub fn keep(&mut self) -> Result<Option<Kept>, HistoryDbError> {
         let Some(NumberedUpdate { seq, update }) = self.pending.take() else { return Ok(None) };
-        let result = self.open_db().and_then(|db| db.keep(&update));
+        let result = self.open_db().and_then(|db| db.persist(&update));
         if let Err(error) = result {
             self.db = None;
             self.pending = Some(NumberedUpdate { seq, update });
@@ -86,10 +86,10 @@
     }
 
     /// The open database.
-    fn open_db(&mut self) -> Result<&mut Book, BookError> {
+    fn open_db(&mut self) -> Result<&mut HistoryDb, HistoryDbError> {
         match &mut self.db {
             Some(db) => Ok(db),
-            none => Ok(none.insert(Book::open(&self.path, self.limits)?.0)),
+            none => Ok(none.insert(HistoryDb::open(&self.path, self.limits)?.0)),
         }
     }
 }
--- a/crates/whinhill-assigner/src/history_recorder.rs
+++ b/crates/whinhill-assigner/src/history_recorder.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use whinhill::interface::SliceId;
-use whinhill_tables::rollback::{dry_run, Fleet, Progress, Rollback, Verdict};
-use whinhill_tables::{Author, Changes, History, Page, ServerName, TableSet};
+use whinhill_tables::rollback::{dry_run, PlannedAction, Progress, Rollback, ServerView};
+use whinhill_tables::{Author, Changes, History, HistoryUpdate, ServerName, TableSet};
 
 /// How often rollbacks are evaluated; moves that the module could not carry out are then requested again.
 const EVALUATION_INTERVAL: Duration = Duration::from_secs(1);
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedUpdate {
     pub seq: u64,
-    pub update: Page,
+    pub update: HistoryUpdate,
 }
 
 impl NumberedUpdate {
@@ -33,7 +33,7 @@
             (_, None) => {}
             (Some(pending), Some(later)) => {
                 pending.seq = later.seq;
-                pending.update.fold(later.update);
+                pending.update.merge(later.update);
             }
             (none, later) => *none = later,
         }
@@ -81,7 +81,7 @@
     last_seq: u64,
     /// The number of the last update that is known to be persisted.
     persisted_seq: u64,
-    pending_update: Option<Page>,
+    pending_update: Option<HistoryUpdate>,
     /// Slices whose owner must not be published before an update is persisted.
     withheld: BTreeMap<SliceId, Withheld>,
     /// How long an owner is withheld at most.
@@ -105,7 +105,7 @@
         unix_ms: u64,
     ) -> Self {
         let last = history.entries().last().map_or(Duration::ZERO, |entry| entry.at);
-        rollbacks.iter_mut().for_each(|rollback| rollback.recovered(now));
+        rollbacks.iter_mut().for_each(|rollback| rollback.resume(now));
         let mut recorder = Chronicle {
             history,
             offset: last.saturating_sub(now),
@@ -138,16 +138,16 @@
 
     /// Adds a version with these changes to the history, if they change anything.
     fn record_changes(&mut self, changes: Changes, author: Author, cause: &str, now: Duration, unix_ms: u64) {
-        if let Some(delta) = self.history.advance(changes, author, cause, self.offset + now, unix_ms) {
-            let update = self.history.page(delta);
+        if let Some(delta) = self.history.record_changes(changes, author, cause, self.offset + now, unix_ms) {
+            let update = self.history.update_with(delta);
             self.add_update(update);
         }
     }
 
     /// Merges an update into the pending one; returns its number.
-    fn add_update(&mut self, update: Page) -> u64 {
+    fn add_update(&mut self, update: HistoryUpdate) -> u64 {
         match &mut self.pending_update {
-            Some(pending) => pending.fold(update),
+            Some(pending) => pending.merge(update),
             None => {
                 self.last_seq += 1;
                 self.pending_update = Some(update);
@@ -164,7 +164,7 @@
         }
         let rollback_of = |slice: &SliceId| {
             let owner = published.get(slice)?.owner.as_ref()?;
-            let requested = |r: &&Rollback| r.handed().any(|(s, to)| s == *slice && to == owner);
+            let requested = |r: &&Rollback| r.requested_moves().any(|(s, to)| s == *slice && to == owner);
             self.rollbacks.iter().find(requested)
         };
         let rollback = granted.iter().find_map(rollback_of);
@@ -181,7 +181,7 @@
         let cause = cause.unwrap_or_else(summary);
         let changes = touched.iter().map(|slice| (*slice, published.get(slice).cloned())).collect();
         for slice in touched.iter().filter(|slice| !published.contains_key(slice)) {
-            self.rollbacks.iter_mut().for_each(|rollback| rollback.taken(*slice));
+            self.rollbacks.iter_mut().for_each(|rollback| rollback.custody_ended(*slice));
         }
         self.record_changes(changes, author, &cause, now, unix_ms);
         // A set without changes makes no update, and then there is none to wait for.
@@ -252,8 +252,8 @@
         to: u64,
         published: &TableSet,
         slices: Option<&BTreeSet<SliceId>>,
-        fleet: &impl Fleet,
-    ) -> Result<BTreeMap<SliceId, Verdict>, RollbackError> {
+        fleet: &impl ServerView,
+    ) -> Result<BTreeMap<SliceId, PlannedAction>, RollbackError> {
         let version = self.history.rebuild(to).ok_or(RollbackError::NotKept(to))?;
         Ok(dry_run(version.set(), published, slices, fleet))
     }
@@ -263,7 +263,7 @@
         &mut self,
         to: u64,
         by: &str,
-        plan: &BTreeMap<SliceId, Verdict>,
+        plan: &BTreeMap<SliceId, PlannedAction>,
         now: Duration,
         within: Duration,
     ) -> Result<u64, RollbackError> {
@@ -273,9 +273,9 @@
         }
         let id = self.rollbacks.last().map_or(0, |last| last.id) + 1;
         let new = Rollback::new(id, to, by, plan, now, within);
-        let mut update = self.history.marks();
+        let mut update = self.history.update_without_delta();
         for older in self.rollbacks.iter_mut().filter(|older| !older.finished()) {
-            older.superseded(&new);
+            older.supersede_by(&new);
             update.rollbacks.insert(older.id, Some(older.clone()));
         }
         update.rollbacks.insert(id, Some(new.clone()));
@@ -294,9 +294,9 @@
 
     /// Marks a version as good; false if it is not in the history.
     pub fn pin_good(&mut self, number: u64) -> bool {
-        let pinned = self.history.pin_good(number);
+        let pinned = self.history.mark_good(number);
         if pinned {
-            let update = self.history.marks();
+            let update = self.history.update_without_delta();
             self.add_update(update);
         }
         pinned
@@ -308,24 +308,28 @@
         &mut self,
         now: Duration,
         published: &TableSet,
-        fleet: &impl Fleet,
+        fleet: &impl ServerView,
     ) -> (Vec<(SliceId, ServerName)>, Vec<String>) {
         let (mut requested_moves, mut log) = (Vec::new(), Vec::new());
         if now < self.next_evaluation {
             return (requested_moves, log);
         }
         self.next_evaluation = now + EVALUATION_INTERVAL;
-        let mut update = Page { number: self.history.current().id().number, ..Page::default() };
+        let mut update =
+            HistoryUpdate { number: self.history.current().id().number, ..HistoryUpdate::default() };
         for rollback in &mut self.rollbacks {
             if rollback.finished() || self.unpersisted_rollbacks.contains_key(&rollback.id) {
                 continue;
             }
             let before = rollback.progress();
             // A requested move without a handover was not possible: it is requested again.
-            let idle: Vec<SliceId> =
-                rollback.handed().map(|(slice, _)| slice).filter(|slice| !fleet.moving(*slice)).collect();
-            idle.into_iter().for_each(|slice| rollback.put_back(slice));
-            requested_moves.extend(rollback.look(now, published, fleet));
+            let idle: Vec<SliceId> = rollback
+                .requested_moves()
+                .map(|(slice, _)| slice)
+                .filter(|slice| !fleet.has_handover(*slice))
+                .collect();
+            idle.into_iter().for_each(|slice| rollback.reopen(slice));
+            requested_moves.extend(rollback.update(now, published, fleet));
             let after = rollback.progress();
             if (before.done, before.abandoned) != (after.done, after.abandoned) {
                 // Persisted, so that a restart does not repeat slices that are done or abandoned.
--- a/crates/whinhill-assigner/src/history_recorder/tests.rs
+++ b/crates/whinhill-assigner/src/history_recorder/tests.rs
@@ -1,7 +1,7 @@
 //! Scenarios of withheld owners, persisted updates and rollbacks.
 
-use whinhill_history::Book;
-use whinhill_tables::rollback::Standing;
+use whinhill_history::HistoryDb;
+use whinhill_tables::rollback::ServerStatus;
 use whinhill_tables::{Limits, SliceTable, Version};
 
 use super::*;
@@ -13,12 +13,12 @@
 /// A fleet in which every server is ready and no slice moves.
 struct AllReady;
 
-impl Fleet for AllReady {
-    fn standing(&self, _: &str) -> Standing {
-        Standing::Ready
+impl ServerView for AllReady {
+    fn server_status(&self, _: &str) -> ServerStatus {
+        ServerStatus::Ready
     }
 
-    fn moving(&self, _: SliceId) -> bool {
+    fn has_handover(&self, _: SliceId) -> bool {
         false
     }
 }
@@ -82,7 +82,7 @@
     record(&mut recorder, 1, &set(&[Some("a"), Some("b")]), &[0, 1], &[]);
     record(&mut recorder, 2, &set(&[Some("c")]), &[0, 1], &[]);
     let NumberedUpdate { update, .. } = recorder.take_page().unwrap();
-    assert_eq!((update.number, update.changed.len(), update.touched.len()), (2, 1, 2));
+    assert_eq!((update.number, update.changed.len(), update.changed_entries.len()), (2, 1, 2));
     assert_eq!(update.removed, [1].into());
     assert!(recorder.take_page().is_none());
 }
@@ -114,7 +114,7 @@
 fn rollback_interrupted_by_a_crash_is_finished_and_done_once() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("history.redb");
-    let (mut db, history) = Book::open(&path, LIMITS).unwrap();
+    let (mut db, history) = HistoryDb::open(&path, LIMITS).unwrap();
     let mut recorder = Chronicle::new(history, Vec::new(), MAX_WITHHOLD, s(0), 0);
     let now = set(&[Some("b"), Some("b")]);
     record(&mut recorder, 1, &set(&[Some("a"), Some("a")]), &[0, 1], &[]);
@@ -122,15 +122,15 @@
     let plan = recorder.dry_run(1, &now, None, &AllReady).unwrap();
     recorder.roll_back(1, "ops", &plan, s(3), ROLLBACK_TIMEOUT).unwrap();
     let update = recorder.take_page().unwrap();
-    db.keep(&update.update).unwrap();
+    db.persist(&update.update).unwrap();
     recorder.kept(update.seq);
     // Slice 0 is moved back; then the assigner crashes.
     recorder.look(s(4), &now, &AllReady);
     let half_done = set(&[Some("a"), Some("b")]);
     recorder.look(s(6), &half_done, &AllReady);
-    db.keep(&recorder.take_page().unwrap().update).unwrap();
+    db.persist(&recorder.take_page().unwrap().update).unwrap();
     drop((db, recorder));
-    let (db, history) = Book::open(&path, LIMITS).unwrap();
+    let (db, history) = HistoryDb::open(&path, LIMITS).unwrap();
     let mut recorder = Chronicle::new(history, db.rollbacks().unwrap(), MAX_WITHHOLD, s(0), 9000);
     let newest = recorder.history().entries().last().unwrap().clone();
     assert_eq!((&newest.author, newest.slices().count()), (&Author::Recovery, 2));
--- a/crates/whinhill-assigner/src/history_writer/tests.rs
+++ b/crates/whinhill-assigner/src/history_writer/tests.rs
@@ -1,14 +1,17 @@
 //! The writer on a disk that refuses at first.
 
 use crossbeam_channel::bounded;
-use whinhill_history::Book;
-use whinhill_tables::{Limits, Page, SliceTable, Version};
+use whinhill_history::HistoryDb;
+use whinhill_tables::{HistoryUpdate, Limits, SliceTable, Version};
 
 use super::*;
 
 fn update(seq: u64, slice: usize) -> NumberedUpdate {
     let table = SliceTable { version: Version::default(), owner: None, shares: vec![1.0], tries: 0 };
-    NumberedUpdate { seq, update: Page { changed: [(slice, table)].into(), number: seq, ..Page::default() } }
+    NumberedUpdate {
+        seq,
+        update: HistoryUpdate { changed: [(slice, table)].into(), number: seq, ..HistoryUpdate::default() },
+    }
 }
 
 /// A missing folder stands for a disk that refuses: nothing may be reported as persisted before it is.
@@ -38,7 +41,7 @@
     assert!(matches!(input, Input::HistoryPersisted { seq: 2 }), "{input:?}");
     drop(to_writer);
     thread.join().unwrap();
-    let (_, history) = Book::open(&path, limits).unwrap();
+    let (_, history) = HistoryDb::open(&path, limits).unwrap();
     let slices: Vec<usize> = history.current().set().keys().copied().collect();
     assert_eq!(slices, [4, 5]);
 }
--- a/crates/whinhill-assigner/src/operator_handler.rs
+++ b/crates/whinhill-assigner/src/operator_handler.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use whinhill::interface::SliceId;
-use whinhill_tables::rollback::{tightened, Fleet, Verdict};
-use whinhill_tables::{differing, Held, TableSet};
+use whinhill_tables::rollback::{lowered_levels, PlannedAction, ServerView};
+use whinhill_tables::{differing_slices, NumberedSet, TableSet};
 
 use crate::history_recorder::Chronicle;
 use crate::operator_api::{Answer, Ask, PlanLine, RollbackLine, SliceLine, Target, VersionLine};
@@ -21,7 +21,7 @@
 pub fn answer(
     recorder: &mut Chronicle,
     published: &TableSet,
-    fleet: &impl Fleet,
+    fleet: &impl ServerView,
     now: Duration,
     request: Ask,
 ) -> Answer {
@@ -93,7 +93,7 @@
         Target::Version(number) => Ok(number),
         Target::Current => Ok(history.current().id().number),
         Target::UnixMs(unix_ms) => history
-            .at(unix_ms)
+            .version_at(unix_ms)
             .ok_or_else(|| "no version in the history was current at that time".to_string()),
         Target::LastGood => {
             history.last_good().ok_or_else(|| "no version before this one is marked good".to_string())
@@ -102,19 +102,19 @@
 }
 
 /// The tables of the version that an operator names.
-fn rebuild(recorder: &Chronicle, target: Target) -> Result<Held, String> {
+fn rebuild(recorder: &Chronicle, target: Target) -> Result<NumberedSet, String> {
     let number = version_number(recorder, target)?;
     recorder.history().rebuild(number).ok_or_else(|| format!("version {number} is not kept"))
 }
 
 /// The slices that differ between two versions.
-fn diff_answer(from: &Held, to: &Held) -> Answer {
+fn diff_answer(from: &NumberedSet, to: &NumberedSet) -> Answer {
     let line = |slice: SliceId| SliceLine {
         slice,
         was: from.set().get(&slice).cloned(),
         now: to.set().get(&slice).cloned(),
     };
-    let slices = differing(from.set(), to.set()).into_iter().take(MAX_LINES).map(line).collect();
+    let slices = differing_slices(from.set(), to.set()).into_iter().take(MAX_LINES).map(line).collect();
     Answer::Diff { from: from.id().number, to: to.id().number, slices }
 }
 
@@ -131,7 +131,7 @@
 fn roll_back(
     recorder: &mut Chronicle,
     published: &TableSet,
-    fleet: &impl Fleet,
+    fleet: &impl ServerView,
     now: Duration,
     request: RollbackRequest,
 ) -> Result<Answer, String> {
@@ -141,17 +141,17 @@
     }
     let plan = recorder.dry_run(to, published, slices.as_ref(), fleet).map_err(|e| e.to_string())?;
     let version = recorder.history().rebuild(to).ok_or_else(|| format!("version {to} is not kept"))?;
-    let levels_left = tightened(version.set(), published, slices.as_ref()).len();
+    let levels_left = lowered_levels(version.set(), published, slices.as_ref()).len();
     let id = match dry_run {
         true => None,
         false => Some(recorder.roll_back(to, &by, &plan, now, within).map_err(|e| e.to_string())?),
     };
-    let line = |(&slice, verdict): (&SliceId, &Verdict)| {
+    let line = |(&slice, verdict): (&SliceId, &PlannedAction)| {
         let (verdict, to, why) = match verdict {
-            Verdict::Stands => ("stands", None, None),
-            Verdict::Move { to } => ("moves", Some(to.to_string()), None),
-            Verdict::PutOff { to, why } => ("waits", Some(to.to_string()), Some(why.to_string())),
-            Verdict::Refused(why) => ("refused", None, Some(why.to_string())),
+            PlannedAction::Stands => ("stands", None, None),
+            PlannedAction::Move { to } => ("moves", Some(to.to_string()), None),
+            PlannedAction::PutOff { to, why } => ("waits", Some(to.to_string()), Some(why.to_string())),
+            PlannedAction::Refused(why) => ("refused", None, Some(why.to_string())),
         };
         PlanLine { slice, verdict: verdict.to_string(), to, why }
     };
--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use whinhill::interface::{EndpointId, Event, LoadReport, ProxyId, ZoneId};
-use whinhill_reports::{Figures, Given, Key, Line, Told};
+use whinhill_reports::{Figures, Key, Line, MergedLine, Report};
 use whinhill_xds::mapping::{server_name, Service};
 use whinhill_xds::proto;
 
@@ -17,15 +17,15 @@
     report: &proto::LoadStatsRequest,
     service: &Service,
     names: &Names,
-) -> Told {
-    let mut reported = Told { proxy, zone, stretch: None, strange: 0, lines: Vec::new() };
+) -> Report {
+    let mut reported = Report { proxy, zone, interval: None, unresolved_lines: 0, lines: Vec::new() };
     for cluster in &report.cluster_stats {
         let Some((slice, method)) = service.of_cluster_name(&cluster.cluster_name) else {
-            reported.strange += 1;
+            reported.unresolved_lines += 1;
             continue;
         };
         let interval = cluster.load_report_interval.as_ref().and_then(proto::read_span);
-        reported.stretch = reported.stretch.max(interval);
+        reported.interval = reported.interval.max(interval);
         let mut demand = Figures { tries: cluster.total_dropped_requests, ..Figures::default() };
         for locality in &cluster.upstream_locality_stats {
             demand.tries += locality.total_issued_requests;
@@ -33,35 +33,35 @@
         }
         // A cluster may be reported only for its work in flight; without new tries that is no report of its demand.
         if demand.tries > 0 {
-            reported.lines.push(Line { key: Key::Came { slice, method }, figures: demand });
+            reported.lines.push(Line { key: Key::Slice { slice, method }, figures: demand });
         }
         let servers = cluster.upstream_locality_stats.iter().flat_map(|l| &l.upstream_endpoint_stats);
         for server in servers.filter(|server| server.total_issued_requests > 0) {
             let name = server.address.as_ref().and_then(server_name);
             let Some(server_index) = name.and_then(|name| names.known(&name)) else {
-                reported.strange += 1;
+                reported.unresolved_lines += 1;
                 continue;
             };
             let tries = server.total_issued_requests;
             let mut endpoint =
                 Figures { tries, lost: server.total_error_requests.min(tries), ..Figures::default() };
             server.load_metric_stats.iter().for_each(|metric| read_metric(&mut endpoint, metric));
-            reported.lines.push(Line { key: Key::Met { server: server_index, zone }, figures: endpoint });
+            reported.lines.push(Line { key: Key::Server { server: server_index, zone }, figures: endpoint });
         }
     }
     reported
 }
 
 /// The module's event for a line of the intake.
-pub fn event(line: &Given, endpoint: impl Fn(usize) -> EndpointId) -> Event {
-    let (figures, interval) = (&line.figures, line.span);
+pub fn event(line: &MergedLine, endpoint: impl Fn(usize) -> EndpointId) -> Event {
+    let (figures, interval) = (&line.figures, line.interval);
     match line.key {
-        Key::Came { slice, method } => {
+        Key::Slice { slice, method } => {
             let lost = figures.lost.min(figures.tries);
             Event::Demand { slice, method, rpcs: figures.tries, lost, interval }
         }
-        Key::Met { server, zone } => {
-            let mean_wait_ms = if figures.oks > 0 { figures.wait_ms / figures.oks as f64 } else { 0.0 };
+        Key::Server { server, zone } => {
+            let mean_wait_ms = if figures.ok > 0 { figures.wait_ms / figures.ok as f64 } else { 0.0 };
             let mean_wait = Duration::try_from_secs_f64(mean_wait_ms / 1e3).unwrap_or_default();
             let (tries, lost) = (figures.tries, figures.lost);
             Event::TryReport {
@@ -85,7 +85,7 @@
         return;
     }
     if metric.metric_name == "wait_ms" {
-        endpoint.oks += count;
+        endpoint.ok += count;
         endpoint.wait_ms += value;
     } else {
         read_load(&mut endpoint.load, &metric.metric_name, value / count as f64);
--- a/crates/whinhill-cli/src/bench.rs
+++ b/crates/whinhill-cli/src/bench.rs
@@ -5,7 +5,7 @@
 
 use clap::Subcommand;
 use serde::Serialize;
-use whinhill_history::Book;
+use whinhill_history::HistoryDb;
 use whinhill_standins::bench;
 use whinhill_standins::day::Day;
 use whinhill_tables::{Author, Changes, Limits, SliceTable, Version};
@@ -18,7 +18,7 @@
 #[derive(Subcommand)]
 pub enum BenchCommand {
     /// Run a day of a large fleet with all proxies on incremental xDS, then with all on state-of-the-world xDS.
-    Fleet {
+    ServerView {
         #[arg(default_value = "days/fleet.json5")]
         file: PathBuf,
         /// Folder in which configurations, logs and status are kept.
@@ -49,7 +49,7 @@
     let program = std::env::current_exe().map_err(CommandError::runtime)?;
     let scratch = tempfile::tempdir().map_err(CommandError::runtime)?;
     match command {
-        BenchCommand::Fleet { file, out } => {
+        BenchCommand::ServerView { file, out } => {
             let day: Day = config::read_file(&file, Day::check)?;
             let out = out.unwrap_or_else(|| scratch.path().to_path_buf());
             let figures = bench::fleet(&day, &program, &out).map_err(CommandError::runtime)?;
@@ -93,23 +93,24 @@
         shares: vec![1.0, 1.0],
         tries: 1,
     };
-    let (mut db, mut history) = Book::open(path, limits)?;
+    let (mut db, mut history) = HistoryDb::open(path, limits)?;
     let mut write_times_us = Vec::new();
     for number in 1..=versions {
         let changed_slices = (0..changes).map(|index| (number as usize * changes + index) % slices);
         let changes: Changes = changed_slices.map(|slice| (slice, Some(table(slice, number)))).collect();
         let now = Duration::from_secs(number);
-        let delta = history.advance(changes, Author::Module, "elimination: 10 moves", now, number * 1000);
+        let delta =
+            history.record_changes(changes, Author::Module, "elimination: 10 moves", now, number * 1000);
         let began = Instant::now();
         if let Some(delta) = delta {
-            db.keep(&history.page(delta))?;
+            db.persist(&history.update_with(delta))?;
         }
         write_times_us.push(began.elapsed().as_micros() as u64);
     }
     drop(db);
     write_times_us.sort_unstable();
     let began = Instant::now();
-    let (_, reopened) = Book::open(path, limits)?;
+    let (_, reopened) = HistoryDb::open(path, limits)?;
     let reopen_ms = began.elapsed().as_secs_f64() * 1e3;
     if reopened.current() != history.current() {
         return Err("the reopened history differs from the one written".into());
--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -21,7 +21,7 @@
 use serde::Serialize;
 use whinhill::interface::{EndpointId, Event};
 use whinhill_assigner::{event, process_figures_of, read_report, Names};
-use whinhill_reports::{Hearing, Intake, Key, Limits as IntakeLimits};
+use whinhill_reports::{Key, Limits as IntakeLimits, ReportAggregator, ReportingState};
 use whinhill_transport::{
     Client, Code, Drivers, Limits, Listener, MessageWriter, PendingAnswer, ServerCall, Trailers, Workers,
 };
@@ -402,7 +402,7 @@
             if let Event::TryReport { endpoint, zone, tries, interval, .. } = event {
                 let rate = *tries as f64 / interval.as_secs_f64().max(1e-3);
                 let smoothed =
-                    self.rates.entry(Key::Met { server: endpoint.index, zone: *zone }).or_insert(rate);
+                    self.rates.entry(Key::Server { server: endpoint.index, zone: *zone }).or_insert(rate);
                 *smoothed += (rate - *smoothed) * SMOOTHING_FACTOR;
             }
         }
@@ -413,7 +413,7 @@
         let mut shares = vec![0.0; true_shares.len()];
         let mut total = 0.0;
         for (key, rate) in &self.rates {
-            if let Key::Met { server, .. } = key {
+            if let Key::Server { server, .. } = key {
                 shares[*server] += rate;
                 total += rate;
             }
@@ -499,7 +499,7 @@
         lines_per_s: settings.lines_per_s,
         ..IntakeLimits::default()
     };
-    let mut intake = Intake::new(limits, settings.seed);
+    let mut aggregator = ReportAggregator::new(limits, settings.seed);
     let mut baseline = BaselineIntake::new(settings.lines_per_s, settings.period);
     let (mut current_view, mut baseline_view) = (ModuleView::default(), ModuleView::default());
     let endpoint = |index: usize| EndpointId { index, stable_id: 0 };
@@ -522,13 +522,13 @@
         for event in first.into_iter().chain(stream_events.try_iter().take(256)) {
             let now = start.elapsed();
             match event {
-                StreamEvent::Opened(proxy) => intake.opened(now, proxy as u32, zone),
-                StreamEvent::Closed(proxy) => intake.closed(now, proxy as u32),
+                StreamEvent::Opened(proxy) => aggregator.stream_opened(now, proxy as u32, zone),
+                StreamEvent::Closed(proxy) => aggregator.stream_closed(now, proxy as u32),
                 StreamEvent::Report(proxy, received_at, report) => {
                     let report_lines = read_report(proxy as u32, zone, &report, &fleet.service, &names);
                     results.lines += report_lines.lines.len() as u64;
                     results.reports += 1;
-                    intake.take(now, report_lines);
+                    aggregator.add_report(now, report_lines);
                     results.intake_us.saturating_record(received_at.elapsed().as_micros() as u64);
                     let baseline_began = Instant::now();
                     baseline.add_report(now, zone, &report, &fleet.service, &names);
@@ -537,7 +537,7 @@
             }
         }
         let now = start.elapsed();
-        let lines = intake.give(now);
+        let lines = aggregator.output_due_lines(now);
         results.busy += began.elapsed();
         let period = (now.as_nanos() / settings.period.as_nanos()) as u64;
         let events: Vec<Event> = lines.iter().map(|line| event(line, endpoint)).collect();
@@ -550,15 +550,16 @@
         }
         if period > checked_period {
             checked_period = period;
-            results.conserved &=
-                intake.waiting() == intake.recount() && intake.ledger().conserved(intake.waiting());
+            results.conserved &= aggregator.held_tries() == aggregator.count_held_tries()
+                && aggregator.ledger().conserved(aggregator.held_tries());
             let silent = (0..settings.proxies)
                 .filter(|proxy| fleet.is_silent(*proxy, period) && period > SILENT.after + 5);
-            let read_as_idle = |proxy: &usize| intake.hearing(now, *proxy as u32) == Some(Hearing::Quiet);
+            let read_as_idle =
+                |proxy: &usize| aggregator.reporting_state(now, *proxy as u32) == Some(ReportingState::Idle);
             results.silent_read_as_idle += silent.filter(read_as_idle).count() as u64;
         }
     }
-    results.ledger = format!("{:?}", intake.ledger());
+    results.ledger = format!("{:?}", aggregator.ledger());
     (results.now, results.oldest_first) = (current_view.finish(), baseline_view.finish());
     Ok(results)
 }
--- a/crates/whinhill-cli/src/table_soak.rs
+++ b/crates/whinhill-cli/src/table_soak.rs
@@ -14,10 +14,10 @@
 use serde::Serialize;
 use whinhill::interface::{EndpointId, Order};
 use whinhill_assigner::{Batch, Chronicle, HistoryFile, Kept};
-use whinhill_history::BookError;
-use whinhill_tables::rollback::{Fleet, Rollback, Standing};
+use whinhill_history::HistoryDbError;
+use whinhill_tables::rollback::{Rollback, ServerStatus, ServerView};
 use whinhill_tables::{
-    Delta, Held, History, Keeper, Limits, PendingGrant, ServerName, SetId, TableSet, Version,
+    Delta, History, Limits, NumberedSet, PendingGrant, ServerName, SetId, TablePublisher, TableSet, Version,
 };
 
 use crate::CommandError;
@@ -93,7 +93,7 @@
 /// The tables that a proxy holds and the deltas in transit to it.
 #[derive(Default)]
 struct Proxy {
-    held: Held,
+    held: NumberedSet,
     in_transit: VecDeque<Delta>,
     /// Whether the next delivery is the full set, which replaces the deltas in transit.
     needs_full_set: bool,
@@ -121,7 +121,7 @@
     path: &'a Path,
     /// `None` between a crash and the restart: the old handle must be closed before the file is opened again.
     file: Option<HistoryFile>,
-    publisher: Keeper,
+    publisher: TablePublisher,
     history_recorder: Chronicle,
     proxies: Vec<Proxy>,
     /// The shared store, by slice.
@@ -133,7 +133,7 @@
     handovers: BTreeMap<usize, Handover>,
     pending_grants: Vec<PendingGrant>,
     /// The newest version published to proxies.
-    published: Held,
+    published: NumberedSet,
     step: u64,
     figures: Figures,
     unhealthy_server: usize,
@@ -146,15 +146,15 @@
     unhealthy_server: usize,
 }
 
-impl Fleet for ClusterView<'_> {
-    fn standing(&self, name: &str) -> Standing {
+impl ServerView for ClusterView<'_> {
+    fn server_status(&self, name: &str) -> ServerStatus {
         if *name == *server_name(self.unhealthy_server) {
-            return Standing::Sick;
+            return ServerStatus::Sick;
         }
-        Standing::Ready
+        ServerStatus::Ready
     }
 
-    fn moving(&self, slice: usize) -> bool {
+    fn has_handover(&self, slice: usize) -> bool {
         self.handovers.contains_key(&slice)
     }
 }
@@ -177,7 +177,7 @@
             newest_followed: vec![0; args.slices],
             handovers: BTreeMap::new(),
             pending_grants: Vec::new(),
-            published: Held::default(),
+            published: NumberedSet::default(),
             step: 0,
             figures,
             unhealthy_server: SERVER_COUNT,
@@ -191,7 +191,7 @@
     fn acquire_all(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         for (slice, stored) in self.store.iter_mut().enumerate() {
             stored.epoch += 1;
-            self.publisher.give(slice, stored.epoch, Some(stored.owner.clone()));
+            self.publisher.acquire_slice(slice, stored.epoch, Some(stored.owner.clone()));
         }
         (0..self.store.len()).for_each(|slice| self.begin_owner_term(slice));
         let all: BTreeSet<usize> = (0..self.store.len()).collect();
@@ -226,7 +226,7 @@
                 self.history_recorder.kept(seq);
                 self.figures.versions = version;
             }
-            Err(error) if error.may_pass() => self.figures.refused_by_disk += 1,
+            Err(error) if error.is_transient() => self.figures.refused_by_disk += 1,
             Err(error) => return Err(error.into()),
         }
         self.publish();
@@ -365,7 +365,7 @@
             for grant in std::mem::take(&mut self.pending_grants) {
                 let stored = &mut self.store[grant.slice];
                 (stored.owner, stored.term) = (grant.owner.clone(), stored.term + 1);
-                let slices = self.publisher.granted(&grant).slices;
+                let slices = self.publisher.grant_stored(&grant).slices;
                 slices.iter().for_each(|slice| self.begin_owner_term(*slice));
                 self.record(slices.clone(), slices, None)?;
             }
@@ -525,10 +525,10 @@
 fn open_history(
     path: &Path,
     figures: &mut Figures,
-) -> Result<(HistoryFile, History, Vec<Rollback>), BookError> {
+) -> Result<(HistoryFile, History, Vec<Rollback>), HistoryDbError> {
     for _ in 0..MAX_DISK_REFUSALS {
         match HistoryFile::open(path, HISTORY_LIMITS) {
-            Err(error) if error.may_pass() => figures.refused_by_disk += 1,
+            Err(error) if error.is_transient() => figures.refused_by_disk += 1,
             opened => return opened,
         }
     }
@@ -536,9 +536,9 @@
 }
 
 /// A table publisher that knows all servers.
-fn new_publisher(slices: usize) -> Keeper {
-    let mut publisher = Keeper::new(slices, vec![false, true], 0);
-    (0..SERVER_COUNT).for_each(|number| publisher.know(server_name(number)));
+fn new_publisher(slices: usize) -> TablePublisher {
+    let mut publisher = TablePublisher::new(slices, vec![false, true], 0);
+    (0..SERVER_COUNT).for_each(|number| publisher.add_known_server(server_name(number)));
     publisher
 }
 
--- a/crates/whinhill-history/tests/corruption.rs
+++ b/crates/whinhill-history/tests/corruption.rs
@@ -7,15 +7,15 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use whinhill_history::Book;
-use whinhill_tables::{Author, Changes, Held, Limits, SliceTable, Version};
+use whinhill_history::HistoryDb;
+use whinhill_tables::{Author, Changes, Limits, NumberedSet, SliceTable, Version};
 
 const LIMITS: Limits = Limits { entries: 200, bytes: 1 << 20, age: Duration::from_secs(1 << 30) };
 
 /// Writes a file with some versions. Returns the set of each version.
-fn write_history(path: &std::path::Path) -> BTreeMap<u64, Held> {
+fn write_history(path: &std::path::Path) -> BTreeMap<u64, NumberedSet> {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let (mut book, mut history) = Book::open(path, LIMITS).unwrap();
+    let (mut db, mut history) = HistoryDb::open(path, LIMITS).unwrap();
     let mut kept = BTreeMap::from([(0, history.current().clone())]);
     for number in 1..=40 {
         let owner = format!("10.0.0.{}:7", rng.random_range(1..9));
@@ -23,8 +23,9 @@
         let table =
             SliceTable { version, owner: Some(owner.as_str().into()), shares: vec![1.0, 0.5], tries: 1 };
         let changes = Changes::from([(rng.random_range(0..12), Some(table))]);
-        let delta = history.advance(changes, Author::Module, "a cause", Duration::from_secs(number), number);
-        book.keep(&history.page(delta.unwrap())).unwrap();
+        let delta =
+            history.record_changes(changes, Author::Module, "a cause", Duration::from_secs(number), number);
+        db.persist(&history.update_with(delta.unwrap())).unwrap();
         kept.insert(number, history.current().clone());
     }
     kept
@@ -65,7 +66,7 @@
         let mut bytes = intact.clone();
         corrupt(&mut rng, &mut bytes);
         fs::write(&path, &bytes).unwrap();
-        let opened = catch_unwind(AssertUnwindSafe(|| Book::open(&path, LIMITS)));
+        let opened = catch_unwind(AssertUnwindSafe(|| HistoryDb::open(&path, LIMITS)));
         let opened = opened.unwrap_or_else(|_| panic!("seed {seed}: the reader panicked"));
         match opened {
             Err(error) => {
--- a/crates/whinhill-history/tests/crashes.rs
+++ b/crates/whinhill-history/tests/crashes.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use redb::StorageBackend;
-use whinhill_history::{Book, BookError, FORMAT_VERSION};
+use whinhill_history::{HistoryDb, HistoryDbError, FORMAT_VERSION};
 use whinhill_tables::{Author, Delta, History, Limits, SliceTable, Version};
 
 const LIMITS: Limits = Limits { entries: 20, bytes: 1 << 20, age: Duration::from_secs(1 << 30) };
@@ -120,7 +120,7 @@
         tries: 0,
     };
     set.insert(rng.random_range(0..12), table);
-    history.record(set, Author::Module, "a cause", Duration::from_secs(step), step)
+    history.record_set(set, Author::Module, "a cause", Duration::from_secs(step), step)
 }
 
 #[test]
@@ -128,17 +128,17 @@
     for seed in 0..12 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut storage = Storage::default();
-        let (mut book, mut history) = Book::open_with_backend(storage.clone(), LIMITS).unwrap();
+        let (mut db, mut history) = HistoryDb::open_with_backend(storage.clone(), LIMITS).unwrap();
         for step in 1..60 {
             let Some(delta) = change(&mut history, &mut rng, step) else { continue };
             if rng.random_bool(0.1) {
                 // The disk becomes full at some write of this version, and then the machine crashes.
                 storage.0.lock().unwrap().writes_left = Some(rng.random_range(0..12));
-                let kept = book.keep(&history.page(delta.clone())).is_ok();
+                let kept = db.persist(&history.update_with(delta.clone())).is_ok();
                 let newest = if kept { delta.to } else { delta.from };
-                drop(book);
+                drop(db);
                 storage = storage.crashed(&mut rng);
-                (book, history) = Book::open_with_backend(storage.clone(), LIMITS).unwrap();
+                (db, history) = HistoryDb::open_with_backend(storage.clone(), LIMITS).unwrap();
                 let found = history.current().id();
                 // A failed sync may have reached the disk nevertheless; then the version is complete.
                 assert!(
@@ -146,7 +146,7 @@
                     "seed {seed}, step {step}: {found}, {newest}"
                 );
             } else {
-                book.keep(&history.page(delta)).unwrap();
+                db.persist(&history.update_with(delta)).unwrap();
             }
         }
         let numbers: Vec<u64> = history.entries().map(|entry| entry.id.number).collect();
@@ -158,16 +158,16 @@
 fn full_disk_keeps_earlier_versions_and_nothing_of_the_failed_one() {
     let storage = Storage::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut book, mut history) = Book::open_with_backend(storage.clone(), LIMITS).unwrap();
+    let (mut db, mut history) = HistoryDb::open_with_backend(storage.clone(), LIMITS).unwrap();
     let good = change(&mut history, &mut rng, 1).unwrap();
-    book.keep(&history.page(good.clone())).unwrap();
+    db.persist(&history.update_with(good.clone())).unwrap();
     storage.0.lock().unwrap().writes_left = Some(0);
     let refused = change(&mut history, &mut rng, 2).unwrap();
-    let error = book.keep(&history.page(refused)).unwrap_err().to_string();
+    let error = db.persist(&history.update_with(refused)).unwrap_err().to_string();
     assert!(error.contains("no space left"), "{error}");
-    drop(book);
+    drop(db);
     storage.0.lock().unwrap().writes_left = None;
-    let (_, found) = Book::open_with_backend(storage, LIMITS).unwrap();
+    let (_, found) = HistoryDb::open_with_backend(storage, LIMITS).unwrap();
     assert_eq!(found.current().id(), good.to);
 }
 
@@ -188,25 +188,25 @@
     for seed in 0..100 {
         let storage = Storage::default();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut book, mut history) = Book::open_with_backend(storage.clone(), LARGE_LIMITS).unwrap();
+        let (mut db, mut history) = HistoryDb::open_with_backend(storage.clone(), LARGE_LIMITS).unwrap();
         let steps = rng.random_range(1..120);
         for step in 1..steps {
             let Some(delta) = change(&mut history, &mut rng, step) else { continue };
-            book.keep(&history.page(delta)).unwrap();
+            db.persist(&history.update_with(delta)).unwrap();
         }
         storage.0.lock().unwrap().drops_next_sync = true;
         let Some(delta) = change(&mut history, &mut rng, steps) else { continue };
-        let page = history.page(delta);
-        book.keep(&page).unwrap_err();
-        drop(book);
+        let update = history.update_with(delta);
+        db.persist(&update).unwrap_err();
+        drop(db);
         let newest = history.current().id();
-        let found = Book::open_with_backend(synced_only(&storage), LARGE_LIMITS);
+        let found = HistoryDb::open_with_backend(synced_only(&storage), LARGE_LIMITS);
         lost_updates +=
             u32::from(found.is_err() || found.is_ok_and(|(_, found)| found.current().id() != newest));
-        let (mut book, _) = Book::open_with_backend(storage.clone(), LARGE_LIMITS).unwrap();
-        book.keep(&page).unwrap();
-        drop(book);
-        let (_, found) = Book::open_with_backend(synced_only(&storage), LARGE_LIMITS).unwrap();
+        let (mut db, _) = HistoryDb::open_with_backend(storage.clone(), LARGE_LIMITS).unwrap();
+        db.persist(&update).unwrap();
+        drop(db);
+        let (_, found) = HistoryDb::open_with_backend(synced_only(&storage), LARGE_LIMITS).unwrap();
         assert_eq!(found.current().id(), newest, "seed {seed}");
         assert!(found.entries().eq(history.entries()), "seed {seed}");
     }
@@ -218,23 +218,23 @@
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("history.redb");
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let (mut book, mut history) = Book::open(&path, LARGE_LIMITS).unwrap();
+    let (mut db, mut history) = HistoryDb::open(&path, LARGE_LIMITS).unwrap();
     for step in 1..80 {
         if let Some(delta) = change(&mut history, &mut rng, step) {
-            book.keep(&history.page(delta)).unwrap();
+            db.persist(&history.update_with(delta)).unwrap();
         }
         if step == 5 {
-            assert!(history.pin_good(5));
-            book.keep(&history.marks()).unwrap();
+            assert!(history.mark_good(5));
+            db.persist(&history.update_without_delta()).unwrap();
         }
     }
     let entries: Vec<_> = history.entries().cloned().collect();
     let good = history.rebuild(5);
-    drop(book);
-    let (book, found) = Book::open(&path, LARGE_LIMITS).unwrap();
+    drop(db);
+    let (db, found) = HistoryDb::open(&path, LARGE_LIMITS).unwrap();
     assert_eq!(found.entries().cloned().collect::<Vec<_>>(), entries);
     assert_eq!((found.rebuild(5), found.last_good()), (good, Some(5)));
-    drop(book);
+    drop(db);
     let database = redb::Database::create(&path).unwrap();
     let transaction = database.begin_write().unwrap();
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
@@ -242,6 +242,6 @@
     transaction.commit().unwrap();
     drop(database);
     assert!(
-        matches!(Book::open(&path, LARGE_LIMITS), Err(BookError::NewerFormat { found, known }) if found == known + 1)
+        matches!(HistoryDb::open(&path, LARGE_LIMITS), Err(HistoryDbError::NewerFormat { found, known }) if found == known + 1)
     );
 }
--- a/crates/whinhill-reports/src/intake.rs
+++ b/crates/whinhill-reports/src/intake.rs
@@ -12,7 +12,7 @@
 use crate::ledger::Ledger;
 use crate::rate_filter::{PeerRates, RateFilter};
 use crate::sample::downsample;
-use crate::{Figures, Key, Line, Told};
+use crate::{Figures, Key, Line, Report};
 
 /// Limits on the cost of an intake, and its waiting times.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,29 +56,29 @@
 
 /// A line for the module.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Given {
+pub struct MergedLine {
     /// What the line counts.
     pub key: Key,
     /// The counts, extrapolated to all proxies that are expected to report.
     pub figures: Figures,
     /// The interval that the line covers. It is longer if too little was known of a shorter one.
-    pub span: Duration,
+    pub interval: Duration,
     /// The standard error of the number of tries.
-    pub error: f64,
+    pub tries_std_error: f64,
 }
 
 /// The state of a proxy according to its reports. A proxy without reports is unknown; only one that reports no load is
 /// quiet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hearing {
+pub enum ReportingState {
     /// It reports load.
-    Heard,
+    Reporting,
     /// It reports that it has no load.
-    Quiet,
+    Idle,
     /// It has a stream and does not report.
-    Silent,
+    Unresponsive,
     /// It has no stream.
-    Cut,
+    Disconnected,
 }
 
 /// A proxy that reports.
@@ -106,14 +106,14 @@
     recent_digests: VecDeque<u64>,
 }
 
-impl Hearing {
+impl ReportingState {
     /// The name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
-            Hearing::Heard => "heard",
-            Hearing::Quiet => "quiet",
-            Hearing::Silent => "silent",
-            Hearing::Cut => "cut",
+            ReportingState::Reporting => "heard",
+            ReportingState::Idle => "quiet",
+            ReportingState::Unresponsive => "silent",
+            ReportingState::Disconnected => "cut",
         }
     }
 }
@@ -141,13 +141,13 @@
     }
 
     /// The proxy's state at `now`.
-    fn hearing(&self, now: Duration, period: Duration) -> Hearing {
+    fn hearing(&self, now: Duration, period: Duration) -> ReportingState {
         let since = self.last_report.unwrap_or(self.opened_at);
         match (self.streams, now.saturating_sub(since) > period * SILENT_AFTER_PERIODS) {
-            (0, _) => Hearing::Cut,
-            (_, true) => Hearing::Silent,
-            (_, false) if self.quiet => Hearing::Quiet,
-            (_, false) => Hearing::Heard,
+            (0, _) => ReportingState::Disconnected,
+            (_, true) => ReportingState::Unresponsive,
+            (_, false) if self.quiet => ReportingState::Idle,
+            (_, false) => ReportingState::Reporting,
         }
     }
 }
@@ -214,8 +214,8 @@
 impl Family {
     fn of(key: &Key) -> Family {
         match key {
-            Key::Met { zone, .. } => Family::Servers(*zone),
-            Key::Came { .. } => Family::Slices,
+            Key::Server { zone, .. } => Family::Servers(*zone),
+            Key::Slice { .. } => Family::Slices,
         }
     }
 }
@@ -231,7 +231,7 @@
 }
 
 /// Collects the reports of all proxies.
-pub struct Intake {
+pub struct ReportAggregator {
     limits: Limits,
     sources: BTreeMap<ProxyId, Source>,
     windows: BTreeMap<Key, Window>,
@@ -245,34 +245,34 @@
     held_tries: u64,
     /// The times of recent outputs and their numbers of lines, as far as they count against the budget.
     recent_outputs: VecDeque<(Duration, usize)>,
-    shown: Shown,
+    stats: IntakeStats,
 }
 
 /// Statistics for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Shown {
+pub struct IntakeStats {
     /// The number of lines ready for output at the last period's end.
-    pub ready: usize,
+    pub ready_lines: usize,
     /// The number of those that were output.
-    pub given: usize,
+    pub output_lines: usize,
     /// The number of lines held back because of their error.
-    pub unsure: usize,
+    pub held_back_lines: usize,
     /// The greatest relative standard error of the lines output last.
-    pub error_most: f64,
+    pub max_relative_error: f64,
     /// The fraction of the expected load that was reported for the periods closed last.
-    pub heard: f64,
-    /// The number of proxies by [`Hearing`]: heard, quiet, silent, cut.
-    pub proxies: [usize; 4],
+    pub coverage: f64,
+    /// The number of proxies by [`ReportingState`]: heard, quiet, silent, cut.
+    pub proxies_by_state: [usize; 4],
     /// The greatest lag of the proxies that report.
-    pub lag_most: Duration,
+    pub max_lag: Duration,
     /// The median lag of the proxies that report.
-    pub lag_middle: Duration,
+    pub median_lag: Duration,
 }
 
-impl Intake {
+impl ReportAggregator {
     /// Creates an empty intake. `seed` is that of the random numbers for downsampling.
     pub fn new(limits: Limits, seed: u64) -> Self {
-        Intake {
+        ReportAggregator {
             limits,
             sources: BTreeMap::new(),
             windows: BTreeMap::new(),
@@ -282,7 +282,7 @@
             peer_rates: None,
             held_tries: 0,
             recent_outputs: VecDeque::new(),
-            shown: Shown::default(),
+            stats: IntakeStats::default(),
         }
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Notes that a proxy opened a report stream. It is then expected to report.
-    pub fn opened(&mut self, now: Duration, proxy: ProxyId, zone: ZoneId) {
+    pub fn stream_opened(&mut self, now: Duration, proxy: ProxyId, zone: ZoneId) {
         let source = self.sources.entry(proxy).or_default();
         if source.streams == 0 {
             source.opened_at = now;
@@ -301,7 +301,7 @@
     }
 
     /// Notes that a report stream of a proxy ended.
-    pub fn closed(&mut self, now: Duration, proxy: ProxyId) {
+    pub fn stream_closed(&mut self, now: Duration, proxy: ProxyId) {
         if let Some(source) = self.sources.get_mut(&proxy) {
             source.streams = source.streams.saturating_sub(1);
             source.closed_at = now;
@@ -310,22 +310,24 @@
     }
 
     /// Merges a report that arrived `now`.
-    pub fn take(&mut self, now: Duration, told: Told) {
-        let tries: u64 = told.lines.iter().map(|line| line.figures.tries).sum();
+    pub fn add_report(&mut self, now: Duration, report: Report) {
+        let tries: u64 = report.lines.iter().map(|line| line.figures.tries).sum();
         self.ledger.reports += 1;
         self.ledger.offered += tries;
-        self.ledger.strange += told.strange;
+        self.ledger.strange += report.unresolved_lines;
         let (period, peer_rates) = (self.limits.period, self.peer_rates);
-        let source =
-            self.sources.entry(told.proxy).or_insert_with(|| Source { opened_at: now, ..Source::default() });
-        source.zone = told.zone;
+        let source = self
+            .sources
+            .entry(report.proxy)
+            .or_insert_with(|| Source { opened_at: now, ..Source::default() });
+        source.zone = report.zone;
         let passed = now.saturating_sub(source.last_report.unwrap_or_default());
-        (source.last_report, source.quiet) = (Some(now), told.lines.is_empty());
-        if !told.lines.is_empty() {
-            let digest = digest(&told);
+        (source.last_report, source.quiet) = (Some(now), report.lines.is_empty());
+        if !report.lines.is_empty() {
+            let digest = digest(&report);
             // A service with constant load has equal reports each second. Only a report that is repeated in less than
             // half the time that it covers must be a duplicate.
-            let too_soon = told.stretch.is_some_and(|interval| passed < interval / 2);
+            let too_soon = report.interval.is_some_and(|interval| passed < interval / 2);
             if too_soon && source.recent_digests.contains(&digest) {
                 self.ledger.repeated += tries;
                 return;
@@ -335,19 +337,19 @@
                 source.recent_digests.pop_front();
             }
         }
-        let placed = source.clock.place(now, told.stretch, period / 2);
+        let placed = source.clock.place(now, report.interval, period / 2);
         source.lag = placed.lag;
         self.ledger.mended += u64::from(placed.corrected);
         // Lines of slices and lines of servers count the same tries, so the proxy's load is the greater of the sums.
         let tries_of = |wanted: fn(&Key) -> bool| {
-            told.lines.iter().filter(|line| wanted(&line.key)).map(|line| line.figures.tries).sum::<u64>()
+            report.lines.iter().filter(|line| wanted(&line.key)).map(|line| line.figures.tries).sum::<u64>()
         };
-        let load = tries_of(|key| matches!(key, Key::Came { .. }))
-            .max(tries_of(|key| matches!(key, Key::Met { .. })));
+        let load = tries_of(|key| matches!(key, Key::Slice { .. }))
+            .max(tries_of(|key| matches!(key, Key::Server { .. })));
         let accepted = source.rate_filter.accept(load, placed.to.saturating_sub(placed.from), peer_rates);
-        source.update_heavy_hitters(&told.lines, accepted, placed.to.saturating_sub(placed.from));
+        source.update_heavy_hitters(&report.lines, accepted, placed.to.saturating_sub(placed.from));
         let heavy_hitters: BTreeSet<Key> = source.heavy_hitters.keys().copied().collect();
-        let downsampled = downsample(told.lines, self.limits.max_report_lines, &mut self.rng);
+        let downsampled = downsample(report.lines, self.limits.max_report_lines, &mut self.rng);
         self.ledger.estimated += downsampled.total_error;
         self.ledger.thinned += u64::from(downsampled.total_error != 0);
         for (line, variance) in downsampled.lines {
@@ -400,7 +402,7 @@
     }
 
     /// Closes the periods that are complete at `now` and returns the lines to output, within the budget.
-    pub fn give(&mut self, now: Duration) -> Vec<Given> {
+    pub fn output_due_lines(&mut self, now: Duration) -> Vec<MergedLine> {
         let complete_until = self.period_of(now).saturating_sub(u64::from(self.limits.late_report_periods));
         if complete_until <= self.first_open_period {
             return Vec::new();
@@ -450,7 +452,7 @@
                     *coverage.missing_heavy_tries.entry(*key).or_default() +=
                         rate * seconds * (1.0 - reported_part);
                 }
-                heavy_rates[usize::from(matches!(key, Key::Came { .. }))] += rate;
+                heavy_rates[usize::from(matches!(key, Key::Slice { .. }))] += rate;
             }
             let families_of_source = [Family::Servers(source.zone), Family::Slices];
             for (family, heavy_rate) in families_of_source.into_iter().zip(heavy_rates) {
@@ -499,7 +501,7 @@
     }
 
     /// Chooses the lines to output: overdue ones first, oldest first, and then those whose rates have changed most.
-    fn output_lines(&mut self, now: Duration) -> Vec<Given> {
+    fn output_lines(&mut self, now: Duration) -> Vec<MergedLine> {
         let period = self.limits.period.as_secs_f64();
         // The budget holds for any second, or any period if that is longer.
         let budget_time = Duration::from_secs(1).max(self.limits.period);
@@ -526,39 +528,41 @@
             let age = if overdue { window.pending_periods } else { 0 };
             ready.push((std::cmp::Reverse(age), std::cmp::Reverse((change * 1e3) as u64), *key));
         }
-        self.shown.ready = ready.len();
-        self.shown.unsure = held_back;
+        self.stats.ready_lines = ready.len();
+        self.stats.held_back_lines = held_back;
         if ready.len() > budget {
             ready.select_nth_unstable(budget);
             ready.truncate(budget);
         }
         ready.sort_unstable_by_key(|(_, _, key)| *key);
-        self.shown.given = ready.len();
-        let output: Vec<Given> = ready.into_iter().filter_map(|(_, _, key)| self.output_line(key)).collect();
+        self.stats.output_lines = ready.len();
+        let output: Vec<MergedLine> =
+            ready.into_iter().filter_map(|(_, _, key)| self.output_line(key)).collect();
         self.recent_outputs.push_back((now, output.len()));
-        let relative_errors = output.iter().map(|line| line.error / line.figures.tries.max(1) as f64);
-        self.shown.error_most = relative_errors.fold(0.0, f64::max);
+        let relative_errors =
+            output.iter().map(|line| line.tries_std_error / line.figures.tries.max(1) as f64);
+        self.stats.max_relative_error = relative_errors.fold(0.0, f64::max);
         output
     }
 
     /// Takes the pending counts of a key as one line, extrapolated to missing proxies.
-    fn output_line(&mut self, key: Key) -> Option<Given> {
+    fn output_line(&mut self, key: Key) -> Option<MergedLine> {
         let period = self.limits.period;
         let window = self.windows.get_mut(&key)?;
         let Sum { mut figures, variance, .. } = std::mem::take(&mut window.pending);
         let missing = std::mem::take(&mut window.missing_tries);
-        let span = period * std::mem::take(&mut window.pending_periods).max(1);
+        let interval = period * std::mem::take(&mut window.pending_periods).max(1);
         self.ledger.given += figures.tries;
         self.held_tries -= figures.tries;
         let reported = figures.tries as f64;
-        window.last_rate = (reported + missing) / span.as_secs_f64();
+        window.last_rate = (reported + missing) / interval.as_secs_f64();
         // Missing proxies are assumed to lose the same fraction of tries as the reporting ones. The standard error of
         // the estimated tries is taken as half their number.
         let scale = if reported > 0.0 { 1.0 + missing / reported } else { 1.0 };
         figures.tries = (reported + missing).round() as u64;
         figures.lost = (figures.lost as f64 * scale).round() as u64;
-        let error = (variance * scale * scale + missing * missing / 4.0).sqrt();
-        Some(Given { key, figures, span, error })
+        let tries_std_error = (variance * scale * scale + missing * missing / 4.0).sqrt();
+        Some(MergedLine { key, figures, interval, tries_std_error })
     }
 
     /// Drops proxies that were disconnected long ago, and keys without counts for the longest interval of a line.
@@ -582,22 +586,22 @@
         for source in self.sources.values() {
             let hearing = source.hearing(now, self.limits.period);
             proxies[hearing as usize] += 1;
-            if matches!(hearing, Hearing::Heard | Hearing::Quiet) {
+            if matches!(hearing, ReportingState::Reporting | ReportingState::Idle) {
                 lags.push(source.lag);
             }
         }
         lags.sort_unstable();
-        self.shown.heard = reported;
-        self.shown.proxies = proxies;
-        self.shown.lag_most = lags.last().copied().unwrap_or_default();
-        self.shown.lag_middle = lags.get(lags.len() / 2).copied().unwrap_or_default();
+        self.stats.coverage = reported;
+        self.stats.proxies_by_state = proxies;
+        self.stats.max_lag = lags.last().copied().unwrap_or_default();
+        self.stats.median_lag = lags.get(lags.len() / 2).copied().unwrap_or_default();
     }
 
     /// Drops all counts of a slice whose custody has ended: another assigner uses them.
     pub fn drop_slice(&mut self, slice: SliceId) {
         let (ledger, held_tries) = (&mut self.ledger, &mut self.held_tries);
         self.windows.retain(|key, window| {
-            let keep = !matches!(key, Key::Came { slice: of, .. } if *of == slice);
+            let keep = !matches!(key, Key::Slice { slice: of, .. } if *of == slice);
             if !keep {
                 let dropped = window.held_tries();
                 ledger.foreign += dropped;
@@ -608,7 +612,7 @@
     }
 
     /// How often a proxy should report. Proxies with a great lag are asked for fewer reports, so that they catch up.
-    pub fn interval(&self, proxy: ProxyId) -> Duration {
+    pub fn reporting_interval(&self, proxy: ProxyId) -> Duration {
         let period = self.limits.period;
         let lag = self.sources.get(&proxy).map_or(Duration::ZERO, |source| source.lag);
         match lag.as_nanos() / period.as_nanos().max(1) {
@@ -619,12 +623,12 @@
     }
 
     /// The state of a proxy at `now`; `None` if it is unknown.
-    pub fn hearing(&self, now: Duration, proxy: ProxyId) -> Option<Hearing> {
+    pub fn reporting_state(&self, now: Duration, proxy: ProxyId) -> Option<ReportingState> {
         Some(self.sources.get(&proxy)?.hearing(now, self.limits.period))
     }
 
     /// All proxies with their states, lags and accepted rates; sorted by state and lag, the worst first.
-    pub fn proxies(&self, now: Duration) -> Vec<(ProxyId, Hearing, Duration, Option<f64>)> {
+    pub fn proxies(&self, now: Duration) -> Vec<(ProxyId, ReportingState, Duration, Option<f64>)> {
         let one = |(id, source): (&ProxyId, &Source)| {
             (*id, source.hearing(now, self.limits.period), source.lag, source.rate_filter.rate())
         };
@@ -634,8 +638,8 @@
     }
 
     /// Whether too little of the expected load is reported for any output.
-    pub fn blind(&self) -> bool {
-        self.first_open_period > 0 && self.shown.heard < self.limits.min_coverage
+    pub fn is_coverage_too_low(&self) -> bool {
+        self.first_open_period > 0 && self.stats.coverage < self.limits.min_coverage
     }
 
     /// The normal reporting interval.
@@ -649,7 +653,7 @@
     }
 
     /// The number of tries held and not output yet.
-    pub fn waiting(&self) -> u64 {
+    pub fn held_tries(&self) -> u64 {
         self.held_tries
     }
 
@@ -659,12 +663,12 @@
     }
 
     /// Statistics for operators.
-    pub fn shown(&self) -> &Shown {
-        &self.shown
+    pub fn stats(&self) -> &IntakeStats {
+        &self.stats
     }
 
     /// Counts the tries held, key by key. Slow; for tests.
-    pub fn recount(&self) -> u64 {
+    pub fn count_held_tries(&self) -> u64 {
         self.windows.values().map(Window::held_tries).sum()
     }
 }
@@ -676,11 +680,11 @@
 }
 
 /// A digest of a report's content. It does not depend on the stream that the report arrives on.
-fn digest(told: &Told) -> u64 {
+fn digest(report: &Report) -> u64 {
     let mut hasher = DefaultHasher::new();
-    told.stretch.hash(&mut hasher);
-    for Line { key, figures } in &told.lines {
-        (key, figures.tries, figures.lost, figures.oks, figures.wait_ms.to_bits()).hash(&mut hasher);
+    report.interval.hash(&mut hasher);
+    for Line { key, figures } in &report.lines {
+        (key, figures.tries, figures.lost, figures.ok, figures.wait_ms.to_bits()).hash(&mut hasher);
     }
     hasher.finish()
 }
--- a/crates/whinhill-reports/src/lib.rs
+++ b/crates/whinhill-reports/src/lib.rs
@@ -1,18 +1,18 @@
 //! Merges the load reports of proxies into a bounded number of lines for the decision module. No I/O and no clock.
 //!
-//! The main calls are [`Intake::take`] for each report, and [`Intake::give`] once a period:
+//! The main calls are [`ReportAggregator::add_report`] for each report, and [`ReportAggregator::output_due_lines`] once a period:
 //!
 //! ```
 //! use std::time::Duration;
-//! use whinhill_reports::{Figures, Intake, Key, Limits, Line, Told};
-//! let mut intake = Intake::new(Limits { period: Duration::from_secs(1), ..Limits::default() }, 1);
+//! use whinhill_reports::{Figures, ReportAggregator, Key, Limits, Line, Report};
+//! let mut aggregator = ReportAggregator::new(Limits { period: Duration::from_secs(1), ..Limits::default() }, 1);
 //! let s = Duration::from_secs;
-//! intake.opened(s(0), 7, 0);
-//! let line = Line { key: Key::Came { slice: 3, method: 0 }, figures: Figures { tries: 40, ..Figures::default() } };
-//! intake.take(s(1), Told { proxy: 7, zone: 0, stretch: Some(s(1)), strange: 0, lines: vec![line] });
-//! let given = intake.give(s(2));
-//! assert_eq!((given[0].figures.tries, given[0].span), (40, s(1)));
-//! assert!(intake.ledger().conserved(intake.waiting()));
+//! aggregator.stream_opened(s(0), 7, 0);
+//! let line = Line { key: Key::Slice { slice: 3, method: 0 }, figures: Figures { tries: 40, ..Figures::default() } };
+//! aggregator.add_report(s(1), Report { proxy: 7, zone: 0, interval: Some(s(1)), unresolved_lines: 0, lines: vec![line] });
+//! let lines = aggregator.output_due_lines(s(2));
+//! assert_eq!((lines[0].figures.tries, lines[0].interval), (40, s(1)));
+//! assert!(aggregator.ledger().conserved(aggregator.held_tries()));
 //! ```
 //!
 //! A report's interval is mapped to the local clock ([`ProxyClock`]). Counts far above those of other proxies are
@@ -27,7 +27,7 @@
 mod sample;
 
 pub use clock::{PlacedInterval, ProxyClock};
-pub use intake::{Given, Hearing, Intake, Limits, Shown};
+pub use intake::{IntakeStats, Limits, MergedLine, ReportAggregator, ReportingState};
 pub use ledger::Ledger;
 pub use rate_filter::{PeerRates, RateFilter};
 pub use sample::{downsample, Downsampled};
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// Tries that proxies of a zone sent to a server.
-    Met { server: usize, zone: ZoneId },
+    Server { server: usize, zone: ZoneId },
     /// Tries of a method for a slice.
-    Came { slice: SliceId, method: MethodId },
+    Slice { slice: SliceId, method: MethodId },
 }
 
 /// Sums over an interval.
@@ -52,7 +52,7 @@
     /// Tries that were lost.
     pub lost: u64,
     /// Tries that succeeded.
-    pub oks: u64,
+    pub ok: u64,
     /// The sum of the waiting times of `oks`, in milliseconds.
     pub wait_ms: f64,
     /// The load that the server reported last.
@@ -64,7 +64,7 @@
     pub fn add(&mut self, other: &Figures) {
         self.tries += other.tries;
         self.lost += other.lost;
-        self.oks += other.oks;
+        self.ok += other.ok;
         self.wait_ms += other.wait_ms;
         self.load = other.load_or(self.load);
     }
@@ -90,7 +90,7 @@
         Figures {
             tries: cut(self.tries),
             lost: cut(self.lost),
-            oks: cut(self.oks),
+            ok: cut(self.ok),
             wait_ms: self.wait_ms * share,
             load: self.load,
         }
@@ -108,15 +108,15 @@
 
 /// One proxy's report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct Report {
     /// The proxy that reports.
     pub proxy: ProxyId,
     /// The proxy's zone.
     pub zone: ZoneId,
     /// The length of the reporting interval by the proxy's clock; `None` or zero if the report does not state it.
-    pub stretch: Option<Duration>,
+    pub interval: Option<Duration>,
     /// The number of lines left out, because they name unknown servers or slices of other assigners.
-    pub strange: u64,
+    pub unresolved_lines: u64,
     /// The lines that could be resolved.
     pub lines: Vec<Line>,
 }
--- a/crates/whinhill-reports/src/sample.rs
+++ b/crates/whinhill-reports/src/sample.rs
@@ -37,8 +37,8 @@
         let figures = &mut line.figures;
         let own = figures.tries as f64;
         let scaled = |count: u64| (count as f64 * scale).round() as u64;
-        (figures.tries, figures.lost, figures.oks) =
-            (scaled(figures.tries), scaled(figures.lost), scaled(figures.oks));
+        (figures.tries, figures.lost, figures.ok) =
+            (scaled(figures.tries), scaled(figures.lost), scaled(figures.ok));
         figures.wait_ms *= scale;
         // The variance of one drawn line that represents `scale` similar ones, as if each were drawn independently.
         kept.push((line, own * own * scale * (scale - 1.0).max(0.0)));
@@ -59,7 +59,7 @@
     use crate::{Figures, Key};
 
     fn line(slice: usize, tries: u64) -> Line {
-        Line { key: Key::Came { slice, method: 0 }, figures: Figures { tries, ..Figures::default() } }
+        Line { key: Key::Slice { slice, method: 0 }, figures: Figures { tries, ..Figures::default() } }
     }
 
     fn long_report() -> Vec<Line> {
--- a/crates/whinhill-store/src/custody/tests.rs
+++ b/crates/whinhill-store/src/custody/tests.rs
@@ -12,19 +12,19 @@
     Duration::from_millis(ms)
 }
 
-fn identity(name: &str, life: u64) -> Identity {
-    Identity { name: name.to_string(), life }
+fn identity(name: &str, incarnation: u64) -> Identity {
+    Identity { name: name.to_string(), incarnation }
 }
 
-fn custody(name: &str, life: u64) -> Custody {
+fn custody(name: &str, incarnation: u64) -> Custody {
     let peers = vec!["a".to_string(), "b".to_string()];
     Custody::new(CustodyConfig {
-        me: identity(name, life),
+        identity: identity(name, incarnation),
         peers,
         slices: 8,
         ttl: TTL,
-        margin: MARGIN,
-        step: 8,
+        lease_margin: MARGIN,
+        max_slices_per_round: 8,
     })
 }
 
@@ -38,7 +38,7 @@
 impl ModelStore {
     fn alive(&self, now: Duration) -> Vec<Identity> {
         let live = self.liveness.iter().filter(|(_, (_, expires))| now < *expires);
-        live.map(|(name, (life, _))| identity(name, *life)).collect()
+        live.map(|(name, (incarnation, _))| identity(name, *incarnation)).collect()
     }
 
     fn swap(&mut self, swaps: &[Swap]) -> bool {
@@ -54,24 +54,28 @@
 
 /// Runs one round of an assigner against the model at the store's time `now`.
 fn run_round(c: &mut Custody, store: &mut ModelStore, now: Duration) {
-    let me = c.config().me.clone();
+    let me = c.config().identity.clone();
     c.expire(now);
     match store.liveness.get(&me.name).filter(|(_, expires)| now < *expires) {
-        Some((life, _)) if *life != me.life => return,
+        Some((incarnation, _)) if *incarnation != me.incarnation => return,
         _ => {}
     }
-    if store.liveness.get(&me.name).is_none_or(|(life, expires)| *life != me.life || now >= *expires) {
-        c.lost();
+    if store
+        .liveness
+        .get(&me.name)
+        .is_none_or(|(incarnation, expires)| *incarnation != me.incarnation || now >= *expires)
+    {
+        c.on_lease_lost();
     }
-    store.liveness.insert(me.name.clone(), (me.life, now + TTL));
-    c.renewed(now);
-    let (_, claims) = c.read(now, &store.alive(now), &store.records.clone());
-    let releases = c.releases();
+    store.liveness.insert(me.name.clone(), (me.incarnation, now + TTL));
+    c.on_lease_renewed(now);
+    let (_, claims) = c.reconcile(now, &store.alive(now), &store.records.clone());
+    let releases = c.pending_releases();
     if !releases.is_empty() && store.swap(&releases) {
-        c.released(&releases);
+        c.on_released(&releases);
     }
     if !claims.is_empty() && store.swap(&claims) {
-        c.claimed(now, &claims);
+        c.on_claimed(now, &claims);
     }
 }
 
@@ -80,16 +84,16 @@
     let (mut a, mut b) = (custody("a", 1), custody("b", 2));
     let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
     run_round(&mut a, &mut store, ms(0));
-    assert_eq!(a.count(), 8);
+    assert_eq!(a.held_count(), 8);
     // a can't reach the store any more; b runs a round every 10 ms.
     let mut first_claim = None;
     for at in (0..3000).step_by(10) {
         run_round(&mut b, &mut store, ms(at));
         a.expire(ms(at));
-        if b.count() > 0 && first_claim.is_none() {
+        if b.held_count() > 0 && first_claim.is_none() {
             first_claim = Some(at);
         }
-        assert!(b.count() == 0 || a.count() == 0, "both have custody at {at}");
+        assert!(b.held_count() == 0 || a.held_count() == 0, "both have custody at {at}");
     }
     assert_eq!(first_claim, Some(1000));
 }
@@ -99,12 +103,12 @@
     let mut a = custody("a", 1);
     let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
     run_round(&mut a, &mut store, ms(0));
-    let grant = a.grant(3, 1, "s").unwrap();
+    let grant = a.grant_swap(3, 1, "s").unwrap();
     assert_eq!(a.expire(ms(799)), []);
     assert_eq!(a.expire(ms(800)).len(), 8);
-    assert_eq!(a.grant(3, 1, "s"), None);
+    assert_eq!(a.grant_swap(3, 1, "s"), None);
     // The reply to a grant that arrives now must not restore custody.
-    a.granted(&grant);
+    a.on_granted(&grant);
     assert!(!a.holds(3));
 }
 
@@ -116,10 +120,10 @@
         run_round(&mut a, &mut store, ms(at));
         run_round(&mut b, &mut store, ms(at + 50));
     }
-    let a_share = a.count();
-    assert!(a_share > 0 && a_share < 8 && b.count() == 8 - a_share);
+    let a_share = a.held_count();
+    assert!(a_share > 0 && a_share < 8 && b.held_count() == 8 - a_share);
     let mut at = 350;
-    while b.count() < 8 {
+    while b.held_count() < 8 {
         at += 50;
         run_round(&mut b, &mut store, ms(at));
         assert!(at < 3000);
@@ -129,7 +133,7 @@
         run_round(&mut restarted, &mut store, ms(at + step * 100));
         run_round(&mut b, &mut store, ms(at + step * 100 + 50));
     }
-    assert_eq!((restarted.count(), b.count()), (a_share, 8 - a_share));
+    assert_eq!((restarted.held_count(), b.held_count()), (a_share, 8 - a_share));
     let epoch = |slice: &SliceId| store.records[*slice].as_ref().unwrap().epoch;
     assert!(restarted.held.keys().all(|slice| epoch(slice) == 3));
 }
@@ -139,8 +143,8 @@
     let mut a = custody("a", 1);
     let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
     run_round(&mut a, &mut store, ms(0));
-    let grant = a.grant(3, 1, "s").unwrap();
-    assert_eq!(a.unknown(std::slice::from_ref(&grant)), [Told::Taken { slice: 3 }]);
+    let grant = a.grant_swap(3, 1, "s").unwrap();
+    assert_eq!(a.on_unknown_outcome(std::slice::from_ref(&grant)), [CustodyEvent::Released { slice: 3 }]);
     store.swap(&[grant]);
     assert!(!a.holds(3));
     // The record still names this assigner, in an epoch that it dropped. It claims the slice again in a new epoch,
@@ -168,14 +172,14 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut store = ModelStore { records: vec![None; 8], ..ModelStore::default() };
         let mut all = [custody("a", 1), custody("b", 2)];
-        let (mut now, mut life) = (0, 10);
+        let (mut now, mut incarnation) = (0, 10);
         for step in 0..400 {
             now += rng.random_range(1..150);
             let index = rng.random_range(0..2);
             match rng.random_range(0..20) {
                 0 => {
-                    life += 1;
-                    all[index] = custody(["a", "b"][index], life);
+                    incarnation += 1;
+                    all[index] = custody(["a", "b"][index], incarnation);
                 }
                 1..4 => now += rng.random_range(0..900),
                 _ => run_round(&mut all[index], &mut store, ms(now)),
--- a/crates/whinhill-store/src/lib.rs
+++ b/crates/whinhill-store/src/lib.rs
@@ -10,7 +10,7 @@
 mod resp;
 mod store;
 
-pub use custody::{Custody, CustodyConfig, Told};
+pub use custody::{Custody, CustodyConfig, CustodyEvent};
 pub use record::{Identity, Record, RecordError};
 pub use redis::{RespConfig, RespStore};
-pub use store::{Outcome, Store, StoreFault, Swap};
+pub use store::{Outcome, Store, StoreError, Swap};
--- a/crates/whinhill-store/src/record.rs
+++ b/crates/whinhill-store/src/record.rs
@@ -9,12 +9,12 @@
     /// The configured name, the same after a restart.
     pub name: String,
     /// The incarnation number, drawn anew at each start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl fmt::Display for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{:x}", self.name, self.life)
+        write!(f, "{}#{:x}", self.name, self.incarnation)
     }
 }
 
@@ -22,11 +22,12 @@
     type Err = RecordError;
 
     fn from_str(text: &str) -> Result<Self, RecordError> {
-        let parts =
-            text.rsplit_once('#').and_then(|(name, life)| Some((name, u64::from_str_radix(life, 16).ok()?)));
-        let (name, life) =
+        let parts = text
+            .rsplit_once('#')
+            .and_then(|(name, incarnation)| Some((name, u64::from_str_radix(incarnation, 16).ok()?)));
+        let (name, incarnation) =
             parts.filter(|(name, _)| !name.is_empty()).ok_or_else(|| RecordError(text.to_string()))?;
-        Ok(Identity { name: name.to_string(), life })
+        Ok(Identity { name: name.to_string(), incarnation })
     }
 }
 
--- a/crates/whinhill-store/src/redis.rs
+++ b/crates/whinhill-store/src/redis.rs
@@ -7,7 +7,7 @@
 
 use crate::record::{Identity, Record};
 use crate::resp::{command, Connection, ExchangeError, Frame};
-use crate::store::{Outcome, Store, StoreFault, Swap};
+use crate::store::{Outcome, Store, StoreError, Swap};
 
 /// Settings of [`RespStore`].
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
     /// Prepended to every key, so that several services can share a store.
     pub prefix: String,
     /// The timeout of each exchange with the store.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// A store on a RESP server, over one connection that is opened when it is needed.
@@ -35,10 +35,10 @@
 }
 
 /// The fault that an error reply, or a reply of the wrong type, amounts to.
-fn unexpected_reply(frame: &Frame) -> StoreFault {
+fn unexpected_reply(frame: &Frame) -> StoreError {
     match frame {
-        Frame::Error(text) => StoreFault::Refused(text.to_string()),
-        other => StoreFault::UnexpectedReply(format!("{other:?}").chars().take(120).collect()),
+        Frame::Error(text) => StoreError::Refused(text.to_string()),
+        other => StoreError::UnexpectedReply(format!("{other:?}").chars().take(120).collect()),
     }
 }
 
@@ -58,14 +58,14 @@
 
     /// Performs one exchange, on a new connection if the last exchange failed.
     fn exchange(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, ExchangeError> {
-        let within = self.config.within;
+        let within = self.config.timeout;
         if self.connection.is_none() {
             let opened = Connection::open(self.config.addr, within);
             self.connection = Some(opened.map_err(|fault| ExchangeError { fault, may_have_arrived: false })?);
         }
         let Some(connection) = &mut self.connection else {
             return Err(ExchangeError {
-                fault: StoreFault::Unreachable("no connection".into()),
+                fault: StoreError::Unreachable("no connection".into()),
                 may_have_arrived: false,
             });
         };
@@ -77,19 +77,19 @@
     }
 
     /// Performs an exchange of commands that change nothing, so a failed one has had no effect.
-    fn query(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, StoreFault> {
+    fn query(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, StoreError> {
         self.exchange(commands).map_err(|error| error.fault)
     }
 
     /// Watches keys and reads their values.
-    fn watch_and_get(&mut self, keys: &[String]) -> Result<Vec<Option<String>>, StoreFault> {
+    fn watch_and_get(&mut self, keys: &[String]) -> Result<Vec<Option<String>>, StoreError> {
         let arguments = |verb: &'static str| -> Vec<&str> {
             std::iter::once(verb).chain(keys.iter().map(String::as_str)).collect()
         };
         let replies = self.query(&[command(&arguments("WATCH")), command(&arguments("MGET"))])?;
         let Frame::Array(values) = &replies[1] else { return Err(unexpected_reply(&replies[1])) };
         if values.len() != keys.len() {
-            return Err(StoreFault::UnexpectedReply(format!(
+            return Err(StoreError::UnexpectedReply(format!(
                 "{} values for {} keys",
                 values.len(),
                 keys.len()
@@ -111,7 +111,7 @@
                 Some(Frame::Null) => Outcome::Done(false),
                 Some(Frame::Array(_)) => Outcome::Done(true),
                 Some(other) => Outcome::NotDone(unexpected_reply(other)),
-                None => Outcome::Unknown(StoreFault::UnexpectedReply("no reply to EXEC".into())),
+                None => Outcome::Unknown(StoreError::UnexpectedReply("no reply to EXEC".into())),
             },
         }
     }
@@ -128,8 +128,8 @@
 }
 
 impl Store for RespStore {
-    fn appear(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
-        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.life));
+    fn register(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
+        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.incarnation));
         match self.exchange(&[command(&["SET", &key, &life, "NX", "PX", &px_millis(ttl)])]) {
             Err(ExchangeError { fault, may_have_arrived: false }) => Outcome::NotDone(fault),
             Err(ExchangeError { fault, may_have_arrived: true }) => Outcome::Unknown(fault),
@@ -138,7 +138,7 @@
                 Frame::Null => match self.query(&[command(&["GET", &key])]) {
                     // An earlier SET of this incarnation took effect although its reply was lost.
                     Ok(current) if string_value(&current[0]) == Some(&life) => self.renew(me, ttl),
-                    Ok(current) => Outcome::NotDone(StoreFault::AlreadyRegistered(
+                    Ok(current) => Outcome::NotDone(StoreError::AlreadyRegistered(
                         string_value(&current[0]).unwrap_or("?").into(),
                     )),
                     Err(fault) => Outcome::NotDone(fault),
@@ -149,17 +149,17 @@
     }
 
     fn renew(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
-        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.life));
+        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.incarnation));
         match self.watch_and_get(std::slice::from_ref(&key)) {
             Err(fault) => Outcome::NotDone(fault),
             Ok(current) if current[0].as_deref() != Some(life.as_str()) => {
                 self.unwatch();
-                Outcome::NotDone(StoreFault::LifeLost)
+                Outcome::NotDone(StoreError::LeaseLost)
             }
             Ok(_) => {
                 match self.run_transaction(vec![command(&["SET", &key, &life, "PX", &px_millis(ttl)])]) {
                     Outcome::Done(true) => Outcome::Done(()),
-                    Outcome::Done(false) => Outcome::NotDone(StoreFault::LifeLost),
+                    Outcome::Done(false) => Outcome::NotDone(StoreError::LeaseLost),
                     Outcome::NotDone(fault) => Outcome::NotDone(fault),
                     Outcome::Unknown(fault) => Outcome::Unknown(fault),
                 }
@@ -167,8 +167,8 @@
         }
     }
 
-    fn vanish(&mut self, me: &Identity) -> Outcome<()> {
-        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.life));
+    fn deregister(&mut self, me: &Identity) -> Outcome<()> {
+        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.incarnation));
         match self.watch_and_get(std::slice::from_ref(&key)) {
             Err(fault) => Outcome::NotDone(fault),
             Ok(current) if current[0].as_deref() != Some(life.as_str()) => {
@@ -201,7 +201,7 @@
             return Outcome::NotDone(unexpected_reply(&replies[0]));
         };
         if liveness.len() != names.len() || values.len() != slices {
-            return Outcome::NotDone(StoreFault::UnexpectedReply(
+            return Outcome::NotDone(StoreError::UnexpectedReply(
                 "the numbers of values and keys differ".into(),
             ));
         }
@@ -209,9 +209,9 @@
         for (name, life) in names.iter().zip(liveness) {
             let Some(life) = string_value(life) else { continue };
             match u64::from_str_radix(life, 16) {
-                Ok(life) => alive.push(Identity { name: name.clone(), life }),
+                Ok(incarnation) => alive.push(Identity { name: name.clone(), incarnation }),
                 Err(_) => {
-                    return Outcome::NotDone(StoreFault::UnexpectedReply(format!(
+                    return Outcome::NotDone(StoreError::UnexpectedReply(format!(
                         "{life:?} is not an incarnation number of {name}"
                     )))
                 }
@@ -221,13 +221,13 @@
         for value in values {
             match string_value(value).map(str::parse::<Record>).transpose() {
                 Ok(record) => records.push(record),
-                Err(error) => return Outcome::NotDone(StoreFault::UnexpectedReply(error.to_string())),
+                Err(error) => return Outcome::NotDone(StoreError::UnexpectedReply(error.to_string())),
             }
         }
         Outcome::Done((alive, records))
     }
 
-    fn swap(&mut self, swaps: &[Swap]) -> Outcome<bool> {
+    fn compare_and_swap(&mut self, swaps: &[Swap]) -> Outcome<bool> {
         let keys: Vec<String> = swaps.iter().map(|swap| self.slice_key(swap.slice)).collect();
         let current = match self.watch_and_get(&keys) {
             Ok(current) => current,
--- a/crates/whinhill-store/src/resp.rs
+++ b/crates/whinhill-store/src/resp.rs
@@ -12,7 +12,7 @@
 
 use whinhill_errors::{is_buffer_shortage, is_local_connect_error, retry_while_temporary};
 
-use crate::store::StoreFault;
+use crate::store::StoreError;
 
 /// The maximum number of buffered bytes before an incomplete reply is refused. Far more than the records of any
 /// deployment.
@@ -33,7 +33,7 @@
 /// A failed exchange.
 pub struct ExchangeError {
     /// Why it failed.
-    pub fault: StoreFault,
+    pub fault: StoreError,
     /// Whether the store may have received the commands.
     pub may_have_arrived: bool,
 }
@@ -47,7 +47,7 @@
 
 impl Connection {
     /// Connects within a timeout. An attempt that fails for a local reason is repeated until then.
-    pub fn open(addr: SocketAddr, timeout: Duration) -> Result<Self, StoreFault> {
+    pub fn open(addr: SocketAddr, timeout: Duration) -> Result<Self, StoreError> {
         Self::open_with(addr, timeout, |timeout| TcpStream::connect_timeout(&addr, timeout))
     }
 
@@ -56,8 +56,8 @@
         addr: SocketAddr,
         timeout: Duration,
         mut connect: impl FnMut(Duration) -> std::io::Result<TcpStream>,
-    ) -> Result<Self, StoreFault> {
-        let unreachable = |error: std::io::Error| StoreFault::Unreachable(format!("{addr}: {error}"));
+    ) -> Result<Self, StoreError> {
+        let unreachable = |error: std::io::Error| StoreError::Unreachable(format!("{addr}: {error}"));
         let started = Instant::now();
         let remaining = || timeout.saturating_sub(started.elapsed()).max(MIN_CONNECT_TIMEOUT);
         let stream = retry_while_temporary(timeout, is_local_connect_error, || connect(remaining()))
@@ -74,13 +74,13 @@
         for frame in commands {
             let encoded = extend_encode(&mut out, frame, false);
             encoded.map_err(|error| ExchangeError {
-                fault: StoreFault::Refused(error.to_string()),
+                fault: StoreError::Refused(error.to_string()),
                 may_have_arrived: false,
             })?;
         }
         if !self.received.is_empty() {
             let fault =
-                StoreFault::UnexpectedReply(format!("{} bytes before the command", self.received.len()));
+                StoreError::UnexpectedReply(format!("{} bytes before the command", self.received.len()));
             return Err(ExchangeError { fault, may_have_arrived: false });
         }
         // Some of the commands may have arrived even if the write fails.
@@ -99,7 +99,7 @@
                     .map_err(|fault| ExchangeError { fault, may_have_arrived: true })?,
                 Err(error) => {
                     return Err(ExchangeError {
-                        fault: StoreFault::UnexpectedReply(error.to_string()),
+                        fault: StoreError::UnexpectedReply(error.to_string()),
                         may_have_arrived: true,
                     })
                 }
@@ -107,7 +107,7 @@
         }
         if !self.received.is_empty() {
             let fault =
-                StoreFault::UnexpectedReply(format!("{} bytes after the last reply", self.received.len()));
+                StoreError::UnexpectedReply(format!("{} bytes after the last reply", self.received.len()));
             return Err(ExchangeError { fault, may_have_arrived: true });
         }
         Ok(replies)
@@ -132,18 +132,18 @@
 
     /// Performs one read into the buffer. Returns without data after an interrupt or a lack of memory; the caller
     /// repeats the call until the deadline.
-    fn read_some(&mut self, deadline: Instant, timeout: Duration) -> Result<(), StoreFault> {
+    fn read_some(&mut self, deadline: Instant, timeout: Duration) -> Result<(), StoreError> {
         let remaining = deadline.saturating_duration_since(Instant::now());
         if remaining.is_zero() {
-            return Err(StoreFault::Timeout(timeout));
+            return Err(StoreError::Timeout(timeout));
         }
         if self.received.len() > MAX_REPLY_BYTES {
-            return Err(StoreFault::UnexpectedReply(format!("a reply of more than {MAX_REPLY_BYTES} bytes")));
+            return Err(StoreError::UnexpectedReply(format!("a reply of more than {MAX_REPLY_BYTES} bytes")));
         }
         let mut chunk = [0; 64 << 10];
         self.stream.set_read_timeout(Some(remaining)).map_err(|error| io_error_to_fault(&error, timeout))?;
         match self.stream.read(&mut chunk) {
-            Ok(0) => Err(StoreFault::Unreachable("the store closed the connection".into())),
+            Ok(0) => Err(StoreError::Unreachable("the store closed the connection".into())),
             Ok(count) => {
                 self.received.extend_from_slice(&chunk[..count]);
                 Ok(())
@@ -159,10 +159,10 @@
 }
 
 /// The fault that an I/O error amounts to.
-fn io_error_to_fault(error: &std::io::Error, timeout: Duration) -> StoreFault {
+fn io_error_to_fault(error: &std::io::Error, timeout: Duration) -> StoreError {
     match error.kind() {
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => StoreFault::Timeout(timeout),
-        _ => StoreFault::Unreachable(error.to_string()),
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => StoreError::Timeout(timeout),
+        _ => StoreError::Unreachable(error.to_string()),
     }
 }
 
--- a/crates/whinhill-store/src/resp/tests.rs
+++ b/crates/whinhill-store/src/resp/tests.rs
@@ -13,7 +13,7 @@
     failures: usize,
     errno: i32,
     timeout: Duration,
-) -> (usize, Result<Connection, StoreFault>) {
+) -> (usize, Result<Connection, StoreError>) {
     let store = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = store.local_addr().unwrap();
     let mut attempts = 0;
@@ -35,11 +35,11 @@
     let (attempts, opened) = open_after_failures(3, EADDRNOTAVAIL, TIMEOUT);
     assert!(opened.is_ok() && attempts == 4, "{attempts}");
     let (attempts, opened) = open_after_failures(usize::MAX, EADDRNOTAVAIL, Duration::from_millis(50));
-    assert!(matches!(opened, Err(StoreFault::Unreachable(_))) && attempts > 1, "{attempts}");
+    assert!(matches!(opened, Err(StoreError::Unreachable(_))) && attempts > 1, "{attempts}");
 }
 
 #[test]
 fn connect_refused_by_the_store_is_reported_without_retry() {
     let (attempts, opened) = open_after_failures(1, ECONNREFUSED, TIMEOUT);
-    assert!(matches!(opened, Err(StoreFault::Unreachable(_))) && attempts == 1, "{attempts}");
+    assert!(matches!(opened, Err(StoreError::Unreachable(_))) && attempts == 1, "{attempts}");
 }
--- a/crates/whinhill-store/src/store.rs
+++ b/crates/whinhill-store/src/store.rs
@@ -12,14 +12,14 @@
     /// The operation took effect.
     Done(T),
     /// The operation had no effect.
-    NotDone(StoreFault),
+    NotDone(StoreError),
     /// The operation may or may not have taken effect. Callers must assume neither.
-    Unknown(StoreFault),
+    Unknown(StoreError),
 }
 
 /// Why a store operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     /// The connection could not be opened, or broke.
     #[error("store unreachable: {0}")]
     Unreachable(String),
@@ -37,7 +37,7 @@
     AlreadyRegistered(String),
     /// The liveness key has expired or belongs to another incarnation.
     #[error("the liveness key in the store no longer belongs to this assigner")]
-    LifeLost,
+    LeaseLost,
 }
 
 /// A compare-and-swap of one slice's record.
@@ -54,18 +54,18 @@
 /// A store of liveness keys, which expire unless they are renewed, and of one record for each slice.
 pub trait Store: Send {
     /// Creates the liveness key of `me`. Fails while a key of the same name exists.
-    fn appear(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
+    fn register(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
 
     /// Extends the liveness key by `ttl` from now. Fails if the key no longer belongs to `me`.
     fn renew(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
 
     /// Deletes the liveness key if it still belongs to `me`.
-    fn vanish(&mut self, me: &Identity) -> Outcome<()>;
+    fn deregister(&mut self, me: &Identity) -> Outcome<()>;
 
     /// Returns the live assigners among `names`, and the records of all slices.
     fn read(&mut self, names: &[String], slices: usize) -> Outcome<(Vec<Identity>, Vec<Option<Record>>)>;
 
     /// Performs all of `swaps` if every record still is as expected, and none otherwise. Returns true if they were
     /// performed.
-    fn swap(&mut self, swaps: &[Swap]) -> Outcome<bool>;
+    fn compare_and_swap(&mut self, swaps: &[Swap]) -> Outcome<bool>;
 }
--- a/crates/whinhill-tables/src/delta.rs
+++ b/crates/whinhill-tables/src/delta.rs
@@ -66,15 +66,15 @@
 
 /// A table set with its id, as an assigner, a proxy or a file holds it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct NumberedSet {
     id: SetId,
     set: TableSet,
 }
 
-impl Held {
+impl NumberedSet {
     /// Takes `set` as number `number`.
     pub fn new(number: u64, set: TableSet) -> Self {
-        Held { id: SetId::of(number, &set), set }
+        NumberedSet { id: SetId::of(number, &set), set }
     }
 
     /// The set's id.
@@ -88,7 +88,7 @@
     }
 
     /// The delta from this set to `to`.
-    pub fn delta(&self, to: &Held) -> Delta {
+    pub fn delta(&self, to: &NumberedSet) -> Delta {
         let differs = |slice: &SliceId, table: &SliceTable| self.set.get(slice) != Some(table);
         let changed = to.set.iter().filter(|(slice, table)| differs(slice, table));
         Delta {
@@ -101,7 +101,7 @@
 
     /// Applies changes; the result gets the number `number` if anything differs. Returns the delta and the former
     /// tables of the changed slices. The cost depends on the number of changes, not on the size of the set.
-    pub fn advance(&mut self, number: u64, changes: Changes) -> (Delta, Changes) {
+    pub fn apply_changes(&mut self, number: u64, changes: Changes) -> (Delta, Changes) {
         let from = self.id;
         let mut delta = Delta { from, ..Delta::default() };
         let mut former_tables = Changes::new();
@@ -153,7 +153,7 @@
         }
         let changed = delta.changed.iter().map(|(slice, table)| (*slice, Some(table.clone())));
         let changes: Changes = changed.chain(delta.removed.iter().map(|slice| (*slice, None))).collect();
-        let (held, (_, former_tables)) = (self.id, self.advance(delta.to.number, changes));
+        let (held, (_, former_tables)) = (self.id, self.apply_changes(delta.to.number, changes));
         self.id.number = delta.to.number;
         let found = self.id;
         if found != delta.to {
--- a/crates/whinhill-tables/src/history.rs
+++ b/crates/whinhill-tables/src/history.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use whinhill::interface::SliceId;
 
-use crate::delta::{Changes, Delta, Held, SetId};
+use crate::delta::{Changes, Delta, NumberedSet, SetId};
 use crate::rollback::Rollback;
 use crate::table::{SliceTable, TableSet};
 
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub struct History {
     limits: Limits,
-    current: Held,
+    current: NumberedSet,
     /// Oldest first.
     entries: VecDeque<Entry>,
     /// The estimated size of all entries.
@@ -92,7 +92,7 @@
 
 /// What must be written to a history file so that it holds the newest version. Several updates can be merged into one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Page {
+pub struct HistoryUpdate {
     /// New and changed tables.
     pub changed: TableSet,
     /// Slices that the newest set lacks.
@@ -100,20 +100,20 @@
     /// The newest version's number.
     pub number: u64,
     /// Added and changed entries by version number; `None`: compacted.
-    pub touched: BTreeMap<u64, Option<Entry>>,
+    pub changed_entries: BTreeMap<u64, Option<Entry>>,
     /// Rollbacks in progress by id; `None`: finished.
     pub rollbacks: BTreeMap<u64, Option<Rollback>>,
 }
 
-impl Page {
+impl HistoryUpdate {
     /// Merges a later update into this one. The size of the result is bounded by the number of slices and the
     /// history's limits.
-    pub fn fold(&mut self, later: Page) {
+    pub fn merge(&mut self, later: HistoryUpdate) {
         self.removed.retain(|slice| !later.changed.contains_key(slice));
         self.changed.retain(|slice, _| !later.removed.contains(slice));
         self.changed.extend(later.changed);
         self.removed.extend(later.removed);
-        self.touched.extend(later.touched);
+        self.changed_entries.extend(later.changed_entries);
         self.rollbacks.extend(later.rollbacks);
         self.number = later.number;
     }
@@ -136,7 +136,7 @@
 impl History {
     /// Starts a history with `set` as version `number`.
     pub fn new(limits: Limits, number: u64, set: TableSet) -> Self {
-        let current = Held::new(number, set);
+        let current = NumberedSet::new(number, set);
         History {
             limits,
             current,
@@ -148,7 +148,7 @@
     }
 
     /// Restores a history from the newest set and the entries that led to it, oldest first.
-    pub fn restore(limits: Limits, current: Held, entries: Vec<Entry>) -> Result<Self, RestoreError> {
+    pub fn restore(limits: Limits, current: NumberedSet, entries: Vec<Entry>) -> Result<Self, RestoreError> {
         let numbers = entries.windows(2).find(|pair| pair[0].id.number >= pair[1].id.number);
         if let Some(pair) = numbers {
             return Err(RestoreError::NotAscending(pair[1].id.number));
@@ -169,25 +169,25 @@
     }
 
     /// The update that persists `delta` and the entries changed since the last update.
-    pub fn page(&mut self, delta: Delta) -> Page {
-        let touched = self.take_changed_entries().into_iter().collect();
-        Page {
+    pub fn update_with(&mut self, delta: Delta) -> HistoryUpdate {
+        let changed_entries = self.take_changed_entries().into_iter().collect();
+        HistoryUpdate {
             changed: delta.changed,
             removed: delta.removed,
             number: delta.to.number,
-            touched,
+            changed_entries,
             rollbacks: BTreeMap::new(),
         }
     }
 
     /// The update that persists the changed entries alone.
-    pub fn marks(&mut self) -> Page {
+    pub fn update_without_delta(&mut self) -> HistoryUpdate {
         let id = self.current.id();
-        self.page(Delta { from: id, to: id, ..Delta::default() })
+        self.update_with(Delta { from: id, to: id, ..Delta::default() })
     }
 
     /// The newest set.
-    pub fn current(&self) -> &Held {
+    pub fn current(&self) -> &NumberedSet {
         &self.current
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// The estimated size of all entries.
-    pub fn bytes(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         self.bytes
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Records a new set. Returns the delta to it, or `None` if it is equal, which makes no version.
-    pub fn record(
+    pub fn record_set(
         &mut self,
         set: TableSet,
         author: Author,
@@ -218,11 +218,11 @@
         let removed = self.current.set().keys().filter(|slice| !set.contains_key(slice));
         let mut changes: Changes = removed.map(|slice| (*slice, None)).collect();
         changes.extend(set.into_iter().map(|(slice, table)| (slice, Some(table))));
-        self.advance(changes, author, cause, at, unix_ms)
+        self.record_changes(changes, author, cause, at, unix_ms)
     }
 
     /// Records changed slices. Returns the delta, or `None` if nothing differs, which makes no version.
-    pub fn advance(
+    pub fn record_changes(
         &mut self,
         changes: Changes,
         author: Author,
@@ -230,7 +230,7 @@
         at: Duration,
         unix_ms: u64,
     ) -> Option<Delta> {
-        let (delta, before) = self.current.advance(self.current.id().number + 1, changes);
+        let (delta, before) = self.current.apply_changes(self.current.id().number + 1, changes);
         if before.is_empty() {
             return None;
         }
@@ -244,7 +244,7 @@
     }
 
     /// Marks a version as good, so that it is never compacted. Returns false if the version is not kept.
-    pub fn pin_good(&mut self, number: u64) -> bool {
+    pub fn mark_good(&mut self, number: u64) -> bool {
         let entry = self.entries.iter_mut().find(|entry| entry.id.number == number);
         let Some(entry) = entry else { return false };
         entry.good = true;
@@ -259,12 +259,12 @@
     }
 
     /// The version that was the newest at a wall clock time.
-    pub fn at(&self, unix_ms: u64) -> Option<u64> {
+    pub fn version_at(&self, unix_ms: u64) -> Option<u64> {
         self.entries.iter().rev().find(|entry| entry.unix_ms <= unix_ms).map(|entry| entry.id.number)
     }
 
     /// Rebuilds a kept set by undoing the changes of all later versions.
-    pub fn rebuild(&self, number: u64) -> Option<Held> {
+    pub fn rebuild(&self, number: u64) -> Option<NumberedSet> {
         if number == self.current.id().number {
             return Some(self.current.clone());
         }
@@ -278,7 +278,7 @@
                 }
             }
         }
-        Some(Held::new(number, set))
+        Some(NumberedSet::new(number, set))
     }
 
     /// The delta between two kept versions; `None` if one of them is not kept, so that the full set is needed.
@@ -315,7 +315,7 @@
 }
 
 /// The slices in which two sets differ.
-pub fn differing(a: &TableSet, b: &TableSet) -> BTreeSet<SliceId> {
+pub fn differing_slices(a: &TableSet, b: &TableSet) -> BTreeSet<SliceId> {
     let slices: BTreeSet<SliceId> = a.keys().chain(b.keys()).copied().collect();
     slices.into_iter().filter(|slice| a.get(slice) != b.get(slice)).collect()
 }
--- a/crates/whinhill-tables/src/history/tests.rs
+++ b/crates/whinhill-tables/src/history/tests.rs
@@ -27,7 +27,7 @@
         Some(table) => drop(set.insert(slice, table)),
         None => drop(set.remove(&slice)),
     }
-    history.record(set, Author::Module, "a cause", secs(at), at * 1000)
+    history.record_set(set, Author::Module, "a cause", secs(at), at * 1000)
 }
 
 #[test]
@@ -51,7 +51,7 @@
 fn base_with_same_number_but_other_epoch_is_refused() {
     let mut history = history();
     let delta = change(&mut history, 0, Some(table(1, 2, "c")), 1).unwrap();
-    let mut other = Held::new(1, [(0, table(2, 1, "a")), (1, table(1, 1, "b"))].into());
+    let mut other = NumberedSet::new(1, [(0, table(2, 1, "a")), (1, table(1, 1, "b"))].into());
     assert!(matches!(other.apply(&delta), Err(DeltaError::BaseMismatch { .. })));
 }
 
@@ -76,21 +76,24 @@
 fn unchanged_set_makes_no_version_and_hash_ignores_insertion_order() {
     let mut history = history();
     let same = history.current().set().clone();
-    assert_eq!(history.record(same, Author::Module, "", secs(1), 1000), None);
+    assert_eq!(history.record_set(same, Author::Module, "", secs(1), 1000), None);
     let forward: TableSet = [(0, table(1, 1, "a")), (1, table(1, 1, "b"))].into();
     let backward: TableSet = [(1, table(1, 1, "b")), (0, table(1, 1, "a"))].into();
-    assert_eq!(Held::new(1, forward).id(), Held::new(1, backward).id());
+    assert_eq!(NumberedSet::new(1, forward).id(), NumberedSet::new(1, backward).id());
 }
 
 #[test]
 fn versions_are_found_by_time_and_by_good_flag() {
     let mut history = history();
     (1..=5).for_each(|k| drop(change(&mut history, 0, Some(table(1, k + 1, "c")), k * 10)));
-    assert_eq!((history.at(35_000), history.at(5_000), history.last_good()), (Some(4), None, None));
-    assert!(history.pin_good(3) && !history.pin_good(99));
+    assert_eq!(
+        (history.version_at(35_000), history.version_at(5_000), history.last_good()),
+        (Some(4), None, None)
+    );
+    assert!(history.mark_good(3) && !history.mark_good(99));
     assert_eq!(history.last_good(), Some(3));
     // The current version is not one to go back to.
-    assert!(history.pin_good(6));
+    assert!(history.mark_good(6));
     assert_eq!(history.last_good(), Some(3));
 }
 
@@ -101,7 +104,7 @@
     let first = history.current().clone();
     change(&mut history, 0, Some(table(1, 3, "d")), 2);
     let good = history.current().clone();
-    assert!(history.pin_good(good.id().number));
+    assert!(history.mark_good(good.id().number));
     (4..80).for_each(|k| drop(change(&mut history, (k % 3) as usize, Some(table(1, k, "e")), k)));
     assert!(history.compacted() > 40 && history.entries().count() <= 30);
     assert_eq!(history.delta(first.id(), history.current().id().number), None);
@@ -121,8 +124,8 @@
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut history = history();
-        let mut recorded: BTreeMap<u64, Held> = [(1, history.current().clone())].into();
-        let mut holders: Vec<Held> = vec![history.current().clone(); 4];
+        let mut recorded: BTreeMap<u64, NumberedSet> = [(1, history.current().clone())].into();
+        let mut holders: Vec<NumberedSet> = vec![history.current().clone(); 4];
         let (mut by_full_set, mut by_delta, mut epochs) = (0, 0, [1u64; 8]);
         for step in 2..200u64 {
             let slice = rng.random_range(0..8);
@@ -136,7 +139,7 @@
                 recorded.insert(history.current().id().number, history.current().clone());
             }
             if rng.random_bool(0.05) {
-                history.pin_good(history.current().id().number);
+                history.mark_good(history.current().id().number);
             }
             let holder = rng.random_range(0..4);
             match history.delta(holders[holder].id(), history.current().id().number) {
--- a/crates/whinhill-tables/src/keeper.rs
+++ b/crates/whinhill-tables/src/keeper.rs
@@ -33,15 +33,15 @@
     pub slices: BTreeSet<SliceId>,
     /// Whether the batch had a safety order: one that stopped writes or revoked an owner.
     pub safety: bool,
-    /// Grants to store. See [`Keeper::granted`].
+    /// Grants to store. See [`TablePublisher::granted`].
     pub grants: Vec<PendingGrant>,
     /// Why nothing was published, if the tables break rules.
-    pub faults: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
 /// Publishes tables: holds the desired tables, and the published ones that may lag behind them.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct TablePublisher {
     slices: usize,
     /// Whether each method writes.
     writes: Vec<bool>,
@@ -59,10 +59,10 @@
     known_servers: BTreeSet<ServerName>,
 }
 
-impl Keeper {
+impl TablePublisher {
     /// Creates a publisher without slices. `writes` tells for each method whether it writes.
     pub fn new(slices: usize, writes: Vec<bool>, tries: u8) -> Self {
-        Keeper {
+        TablePublisher {
             slices,
             writes,
             tries,
@@ -81,17 +81,17 @@
     }
 
     /// The number of methods.
-    pub fn methods(&self) -> usize {
+    pub fn method_count(&self) -> usize {
         self.writes.len()
     }
 
     /// Adds a server that a list or the store has named. Only such servers may own a slice.
-    pub fn know(&mut self, server: ServerName) {
+    pub fn add_known_server(&mut self, server: ServerName) {
         self.known_servers.insert(server);
     }
 
     /// Begins custody of a slice, with the owner that the store holds.
-    pub fn give(&mut self, slice: SliceId, epoch: u64, owner: Option<ServerName>) {
+    pub fn acquire_slice(&mut self, slice: SliceId, epoch: u64, owner: Option<ServerName>) {
         self.number += 1;
         let version = Version { epoch, number: self.number };
         self.known_servers.extend(owner.clone());
@@ -102,7 +102,7 @@
     }
 
     /// Ends custody of a slice. Its table is no longer published here.
-    pub fn take(&mut self, slice: SliceId) {
+    pub fn release_slice(&mut self, slice: SliceId) {
         self.desired.remove(&slice);
         self.published.remove(&slice);
         self.pending.remove(&slice);
@@ -153,7 +153,7 @@
     }
 
     /// Publishes the slice of a grant that is now stored. If the slice has a newer grant, nothing changes.
-    pub fn granted(&mut self, grant: &PendingGrant) -> BatchOutcome {
+    pub fn grant_stored(&mut self, grant: &PendingGrant) -> BatchOutcome {
         let mut outcome = BatchOutcome::default();
         if self.pending.get(&grant.slice) == Some(&grant.ticket) {
             self.pending.remove(&grant.slice);
@@ -164,7 +164,7 @@
     }
 
     /// The number of slices whose grant is not stored yet.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_grants(&self) -> usize {
         self.pending.len()
     }
 
@@ -177,8 +177,8 @@
             next.insert(*slice, table.clone());
         }
         let known = |server: &str| self.known_servers.contains(server);
-        outcome.faults = find_violations(&self.published, &next, self.slices, &self.writes, known);
-        if outcome.faults.is_empty() {
+        outcome.violations = find_violations(&self.published, &next, self.slices, &self.writes, known);
+        if outcome.violations.is_empty() {
             outcome.slices.extend(next.keys());
             self.published.append(&mut next);
         }
--- a/crates/whinhill-tables/src/rollback.rs
+++ b/crates/whinhill-tables/src/rollback.rs
@@ -17,7 +17,7 @@
 
 /// The state of a server, as far as the assigner knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ServerStatus {
     /// It can take slices.
     Ready,
     /// It is warming up and receives slices gradually.
@@ -32,10 +32,10 @@
     Unknown,
 }
 
-impl Standing {
+impl ServerStatus {
     /// Whether the server may become ready later.
     fn is_transient(self) -> bool {
-        matches!(self, Standing::Cold | Standing::Sick)
+        matches!(self, ServerStatus::Cold | ServerStatus::Sick)
     }
 }
 
@@ -47,7 +47,7 @@
     /// In the older set the slice is absent or has no owner.
     NoOwnerThen,
     /// The server can't take the slice.
-    Server { server: ServerName, standing: Standing },
+    Server { server: ServerName, standing: ServerStatus },
     /// A handover of the slice is in progress. The move is considered again when it has ended.
     HandoverUnderWay,
     /// Custody of the slice ended during the rollback.
@@ -65,12 +65,12 @@
             Reason::NoOwnerThen => write!(f, "the slice had no owner in that set"),
             Reason::Server { server, standing } => {
                 let what = match standing {
-                    Standing::Ready => "ready",
-                    Standing::Cold => "cold: it receives slices as it warms up",
-                    Standing::Sick => "sick",
-                    Standing::Draining => "draining",
-                    Standing::Gone => "gone",
-                    Standing::Unknown => "in no list",
+                    ServerStatus::Ready => "ready",
+                    ServerStatus::Cold => "cold: it receives slices as it warms up",
+                    ServerStatus::Sick => "sick",
+                    ServerStatus::Draining => "draining",
+                    ServerStatus::Gone => "gone",
+                    ServerStatus::Unknown => "in no list",
                 };
                 write!(f, "server {server} is {what}")
             }
@@ -84,7 +84,7 @@
 
 /// The planned action of a rollback for one slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum PlannedAction {
     /// Nothing to do: the slice has the wanted owner.
     Stands,
     /// The slice moves to `to`.
@@ -96,11 +96,11 @@
 }
 
 /// What the assigner knows of servers and handovers when a rollback is evaluated.
-pub trait Fleet {
+pub trait ServerView {
     /// The state of a server.
-    fn standing(&self, server: &str) -> Standing;
+    fn server_status(&self, server: &str) -> ServerStatus;
     /// Whether a handover of the slice is in progress.
-    fn moving(&self, slice: SliceId) -> bool;
+    fn has_handover(&self, slice: SliceId) -> bool;
 }
 
 /// Plans a rollback from the set `now` to the set `old`: for each of the given slices, or by default for all slices of
@@ -109,38 +109,38 @@
     old: &TableSet,
     now: &TableSet,
     slices: Option<&BTreeSet<SliceId>>,
-    fleet: &impl Fleet,
-) -> BTreeMap<SliceId, Verdict> {
+    fleet: &impl ServerView,
+) -> BTreeMap<SliceId, PlannedAction> {
     let all: BTreeSet<SliceId> =
         slices.cloned().unwrap_or_else(|| old.keys().chain(now.keys()).copied().collect());
     all.into_iter().map(|slice| (slice, plan_slice(slice, old, now, fleet))).collect()
 }
 
 /// Plans the action for one slice.
-fn plan_slice(slice: SliceId, old: &TableSet, now: &TableSet, fleet: &impl Fleet) -> Verdict {
-    let Some(table) = now.get(&slice) else { return Verdict::Refused(Reason::NotOurs) };
+fn plan_slice(slice: SliceId, old: &TableSet, now: &TableSet, fleet: &impl ServerView) -> PlannedAction {
+    let Some(table) = now.get(&slice) else { return PlannedAction::Refused(Reason::NotOurs) };
     let Some(to) = old.get(&slice).and_then(|table| table.owner.clone()) else {
-        return Verdict::Refused(Reason::NoOwnerThen);
+        return PlannedAction::Refused(Reason::NoOwnerThen);
     };
-    let standing = fleet.standing(&to);
-    if standing != Standing::Ready && !standing.is_transient() {
-        return Verdict::Refused(Reason::Server { server: to, standing });
+    let standing = fleet.server_status(&to);
+    if standing != ServerStatus::Ready && !standing.is_transient() {
+        return PlannedAction::Refused(Reason::Server { server: to, standing });
     }
-    if fleet.moving(slice) {
-        return Verdict::PutOff { to, why: Reason::HandoverUnderWay };
+    if fleet.has_handover(slice) {
+        return PlannedAction::PutOff { to, why: Reason::HandoverUnderWay };
     }
     if table.owner.as_ref() == Some(&to) {
-        return Verdict::Stands;
+        return PlannedAction::Stands;
     }
-    if standing != Standing::Ready {
-        return Verdict::PutOff { to: to.clone(), why: Reason::Server { server: to, standing } };
+    if standing != ServerStatus::Ready {
+        return PlannedAction::PutOff { to: to.clone(), why: Reason::Server { server: to, standing } };
     }
-    Verdict::Move { to }
+    PlannedAction::Move { to }
 }
 
 /// The levels that a rollback may lower at once: for each slice whose owner is the same in both sets, the lower one of
 /// the old and the current share of each method, if any is lower than now.
-pub fn tightened(
+pub fn lowered_levels(
     old: &TableSet,
     now: &TableSet,
     slices: Option<&BTreeSet<SliceId>>,
@@ -218,14 +218,14 @@
         id: u64,
         to: u64,
         by: &str,
-        plan: &BTreeMap<SliceId, Verdict>,
+        plan: &BTreeMap<SliceId, PlannedAction>,
         now: Duration,
         within: Duration,
     ) -> Self {
-        let state = |verdict: &Verdict| match verdict.clone() {
-            Verdict::Stands => MoveState::Done,
-            Verdict::Move { to } | Verdict::PutOff { to, .. } => MoveState::Open { to },
-            Verdict::Refused(why) => MoveState::Abandoned(why),
+        let state = |verdict: &PlannedAction| match verdict.clone() {
+            PlannedAction::Stands => MoveState::Done,
+            PlannedAction::Move { to } | PlannedAction::PutOff { to, .. } => MoveState::Open { to },
+            PlannedAction::Refused(why) => MoveState::Abandoned(why),
         };
         let moves = plan.iter().map(|(slice, verdict)| (*slice, state(verdict))).collect();
         Rollback {
@@ -241,14 +241,19 @@
 
     /// Evaluates all moves against the current set. Returns the moves to request from the module. Each is returned
     /// once, and again only after [`Rollback::put_back`] or [`Rollback::recovered`].
-    pub fn look(&mut self, now: Duration, set: &TableSet, fleet: &impl Fleet) -> Vec<(SliceId, ServerName)> {
+    pub fn update(
+        &mut self,
+        now: Duration,
+        set: &TableSet,
+        fleet: &impl ServerView,
+    ) -> Vec<(SliceId, ServerName)> {
         let mut requests = Vec::new();
         for (&slice, state) in &mut self.moves {
             let to = match state {
                 MoveState::Open { to } | MoveState::Handed { to } => to.clone(),
                 MoveState::Done | MoveState::Abandoned(_) => continue,
             };
-            let standing = fleet.standing(&to);
+            let standing = fleet.server_status(&to);
             let Some(table) = set.get(&slice) else {
                 if self.resumed && now < self.expires_at {
                     continue;
@@ -256,14 +261,17 @@
                 *state = MoveState::Abandoned(Reason::CustodyLost);
                 continue;
             };
-            let in_handover = fleet.moving(slice);
+            let in_handover = fleet.has_handover(slice);
             if !in_handover && table.owner.as_ref() == Some(&to) {
                 *state = MoveState::Done;
-            } else if standing != Standing::Ready && !standing.is_transient() {
+            } else if standing != ServerStatus::Ready && !standing.is_transient() {
                 *state = MoveState::Abandoned(Reason::Server { server: to, standing });
             } else if now >= self.expires_at && !in_handover {
                 *state = MoveState::Abandoned(Reason::NoRoom { within: self.time_limit });
-            } else if matches!(state, MoveState::Open { .. }) && !in_handover && standing == Standing::Ready {
+            } else if matches!(state, MoveState::Open { .. })
+                && !in_handover
+                && standing == ServerStatus::Ready
+            {
                 *state = MoveState::Handed { to: to.clone() };
                 requests.push((slice, to));
             }
@@ -272,7 +280,7 @@
     }
 
     /// Abandons the move of a slice whose custody was acquired since the start and has ended.
-    pub fn taken(&mut self, slice: SliceId) {
+    pub fn custody_ended(&mut self, slice: SliceId) {
         if let Some(state @ (MoveState::Open { .. } | MoveState::Handed { .. })) = self.moves.get_mut(&slice)
         {
             *state = MoveState::Abandoned(Reason::CustodyLost);
@@ -280,7 +288,7 @@
     }
 
     /// The moves requested from the module: slices and their wanted owners.
-    pub fn handed(&self) -> impl Iterator<Item = (SliceId, &ServerName)> {
+    pub fn requested_moves(&self) -> impl Iterator<Item = (SliceId, &ServerName)> {
         self.moves.iter().filter_map(|(slice, state)| match state {
             MoveState::Handed { to } => Some((*slice, to)),
             _ => None,
@@ -288,7 +296,7 @@
     }
 
     /// Notes that the module dropped the requested move of a slice. It is requested again later.
-    pub fn put_back(&mut self, slice: SliceId) {
+    pub fn reopen(&mut self, slice: SliceId) {
         if let Some(state) = self.moves.get_mut(&slice) {
             if let MoveState::Handed { to } = state {
                 *state = MoveState::Open { to: to.clone() };
@@ -297,7 +305,7 @@
     }
 
     /// Abandons the moves of all slices that a later rollback includes: only the newest move of a slice counts.
-    pub fn superseded(&mut self, by: &Rollback) {
+    pub fn supersede_by(&mut self, by: &Rollback) {
         for (slice, state) in &mut self.moves {
             if by.moves.contains_key(slice)
                 && matches!(state, MoveState::Open { .. } | MoveState::Handed { .. })
@@ -309,10 +317,10 @@
 
     /// Resumes the rollback after a restart of the assigner. Its clock starts anew, so the time limit does, too. The
     /// module does not know of earlier requests, so they are made again.
-    pub fn recovered(&mut self, now: Duration) {
+    pub fn resume(&mut self, now: Duration) {
         (self.expires_at, self.resumed) = (now + self.time_limit, true);
         let slices: Vec<SliceId> = self.moves.keys().copied().collect();
-        slices.into_iter().for_each(|slice| self.put_back(slice));
+        slices.into_iter().for_each(|slice| self.reopen(slice));
     }
 
     /// The number of moves in each state.
