--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -7,12 +7,13 @@
 use hdrhistogram::Histogram;
 
 use whinhill::interface::{
-    Entry, Ep, Event, Health, ListKind, Listed, LoadReport, Order, Probe, ProxyId, SettingsError, SliceId,
+    EndpointId, Event, Health, ListKind, ListedStatus, LoadReport, Order, ProbeOutcome, ProxyId, ServerEntry,
+    SettingsError, SliceId,
 };
-use whinhill_reports::{Hearing, Intake, Ledger, Shown};
-use whinhill_store::Told;
-use whinhill_tables::rollback::{Fleet, Rollback, Standing};
-use whinhill_tables::{History, Keeper, PendingGrant, ServerName, TableSet};
+use whinhill_reports::{IntakeStats, Ledger, ReportAggregator, ReportingState};
+use whinhill_store::CustodyEvent;
+use whinhill_tables::rollback::{Rollback, ServerStatus, ServerView};
+use whinhill_tables::{History, PendingGrant, ServerName, TablePublisher, TableSet};
 use whinhill_xds::mapping::Service;
 use whinhill_xds::proto;
 
@@ -43,9 +44,9 @@
     /// A load report stream ended.
     ReportStreamClosed { proxy: String },
     /// A probe of a server ended.
-    ProbeCompleted { server: ServerName, result: Probe, load: LoadReport },
+    ProbeCompleted { server: ServerName, result: ProbeOutcome, load: LoadReport },
     /// Slices were acquired or released.
-    Custody { events: Vec<Told> },
+    Custody { events: Vec<CustodyEvent> },
     /// The store holds a grant.
     GrantStored { grant: PendingGrant },
     /// The history file holds every update up to this number.
@@ -100,8 +101,8 @@
 pub struct Core {
     module: whinhill::Assigner,
     names: Names,
-    publisher: Keeper,
-    intake: Intake,
+    publisher: TablePublisher,
+    reports: ReportAggregator,
     service: Arc<Service>,
     /// The stream of each proxy that has joined.
     joined_streams: BTreeMap<ProxyId, u64>,
@@ -138,20 +139,20 @@
     names: &'a Names,
 }
 
-impl Fleet for ModuleServerView<'_> {
-    fn standing(&self, server: &str) -> Standing {
+impl ServerView for ModuleServerView<'_> {
+    fn server_status(&self, server: &str) -> ServerStatus {
         match self.names.known(server).map(|index| self.module.health(index)) {
-            None => Standing::Unknown,
-            Some(Health::Ready) => Standing::Ready,
-            Some(Health::Cold) => Standing::Cold,
-            Some(Health::Sick) => Standing::Sick,
-            Some(Health::Draining) => Standing::Draining,
-            Some(Health::Gone) => Standing::Gone,
+            None => ServerStatus::Unknown,
+            Some(Health::Ready) => ServerStatus::Ready,
+            Some(Health::Cold) => ServerStatus::Cold,
+            Some(Health::Sick) => ServerStatus::Sick,
+            Some(Health::Draining) => ServerStatus::Draining,
+            Some(Health::Gone) => ServerStatus::Gone,
         }
     }
 
-    fn moving(&self, slice: SliceId) -> bool {
-        self.module.moving(slice)
+    fn has_handover(&self, slice: SliceId) -> bool {
+        self.module.has_handover(slice)
     }
 }
 
@@ -163,8 +164,8 @@
         Ok(Core {
             module: whinhill::Assigner::new(&config.settings(), seed)?,
             names: Names::new(&config.zones),
-            publisher: Keeper::new(service.slices, writes, config.service.tries),
-            intake: Intake::new(
+            publisher: TablePublisher::new(service.slices, writes, config.service.tries),
+            reports: ReportAggregator::new(
                 whinhill_reports::Limits {
                     period: Duration::from_millis(config.report_period_ms),
                     lines_per_s: config.report_lines_per_s,
@@ -219,7 +220,7 @@
     }
 
     /// The published tables.
-    pub fn publisher(&self) -> &Keeper {
+    pub fn publisher(&self) -> &TablePublisher {
         &self.publisher
     }
 
@@ -235,7 +236,7 @@
 
     /// Report lines since the start that name an unknown cluster or server.
     pub fn unreadable_report_lines(&self) -> u64 {
-        self.intake.ledger().strange
+        self.reports.ledger().strange
     }
 
     /// When to call [`Core::handle`] next even if nothing happens.
@@ -312,16 +313,16 @@
     /// Gives the module its events and carries out the orders that it returns.
     fn decide(&mut self, now: Duration, mut events: Vec<Event>, effects: &mut Effects) {
         let names = &self.names;
-        let ep = |index: usize| {
-            let stable = names.server(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
-            Ep { index, stable }
+        let endpoint = |index: usize| {
+            let stable_id = names.server(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
+            EndpointId { index, stable_id }
         };
         if self.started {
-            let report_lines = self.intake.give(now);
-            events.extend(report_lines.iter().map(|line| event(line, ep)));
-            let load_unknown = self.intake.blind();
+            let report_lines = self.reports.output_due_lines(now);
+            events.extend(report_lines.iter().map(|line| event(line, endpoint)));
+            let load_unknown = self.reports.is_coverage_too_low();
             if load_unknown != std::mem::replace(&mut self.load_unknown, load_unknown) {
-                effects.log.push(load_state_message(load_unknown, self.intake.shown()));
+                effects.log.push(load_state_message(load_unknown, self.reports.stats()));
             }
         }
         if now >= self.next_wake {
@@ -337,7 +338,7 @@
             self.history_recorder.look(now, self.publisher.published(), &server_view);
         effects.log.extend(ended);
         for (slice, server) in requested_moves {
-            events.push(Event::Wished { slice, to: self.names.ep(&server) });
+            events.push(Event::MoveRequested { slice, destination: self.names.endpoint(&server) });
         }
         if events.is_empty() {
             return;
@@ -369,10 +370,10 @@
             Input::ProxyJoined { proxy, zone, stream } => {
                 let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
                 if self.joined_streams.insert(id, stream).is_some() {
-                    events.push(Event::Left { proxy: id });
+                    events.push(Event::ProxyLeft { proxy: id });
                     effects.left_proxies.push(id);
                 }
-                events.push(Event::Joined { proxy: id, zone });
+                events.push(Event::ProxyJoined { proxy: id, zone });
             }
             // The end of a stream that a newer one has replaced does not mean that the proxy left.
             Input::ProxyLeft { proxy, stream } => {
@@ -381,7 +382,7 @@
                     self.joined_streams.remove(&id);
                     self.record_ack_progress(id, None);
                     effects.left_proxies.push(id);
-                    events.push(Event::Left { proxy: id });
+                    events.push(Event::ProxyLeft { proxy: id });
                 }
             }
             Input::Acked { proxy, stream, ack_seq } => {
@@ -389,7 +390,7 @@
                 let is_current_stream = self.joined_streams.get(&id) == Some(&stream);
                 if let (Some(ordered_at), true) = (self.ack_seq_ordered_at.get(&ack_seq), is_current_stream) {
                     let transit = now.saturating_sub(*ordered_at);
-                    events.push(Event::Acked { proxy: id, mark: ack_seq, way: transit });
+                    events.push(Event::Acked { proxy: id, ack_seq, transit });
                     self.ack_latency.saturating_record(transit.as_micros() as u64);
                     self.record_ack_progress(id, Some((ack_seq, now)));
                 }
@@ -397,24 +398,24 @@
             Input::Report { proxy, zone, report } => {
                 let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
                 let report = read_report(id, zone, &report, &self.service, &self.names);
-                self.intake.take(now, report);
-                let interval = self.intake.interval(id);
+                self.reports.add_report(now, report);
+                let interval = self.reports.reporting_interval(id);
                 // The interval outlives the proxy's streams: the hub sends it again on each new stream.
-                let before = self.report_intervals.insert(id, interval).unwrap_or(self.intake.period());
+                let before = self.report_intervals.insert(id, interval).unwrap_or(self.reports.period());
                 if before != interval {
                     effects.report_intervals.push((id, interval));
                 }
             }
             Input::ReportStreamOpened { proxy, zone } => {
                 let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
-                self.intake.opened(now, id, zone);
+                self.reports.stream_opened(now, id, zone);
             }
             Input::ReportStreamClosed { proxy } => {
                 let id = self.names.proxy_id(&proxy);
-                self.intake.closed(now, id);
+                self.reports.stream_closed(now, id);
             }
             Input::ProbeCompleted { server, result, load } => {
-                events.push(Event::Probed { ep: self.names.ep(&server), result, load });
+                events.push(Event::Probed { endpoint: self.names.endpoint(&server), result, load });
             }
             Input::Custody { events: custody_events } => {
                 for custody_event in custody_events {
@@ -422,10 +423,10 @@
                 }
             }
             Input::GrantStored { grant } => {
-                let changed = self.publisher.granted(&grant);
+                let changed = self.publisher.grant_stored(&grant);
                 effects
                     .log
-                    .extend(changed.faults.iter().map(|violation| format!("not published: {violation}")));
+                    .extend(changed.violations.iter().map(|violation| format!("not published: {violation}")));
                 granted.extend(changed.slices);
             }
             Input::HistoryPersisted { seq } => {
@@ -438,24 +439,25 @@
     }
 
     /// What became of the reported tries, how many are queued, and the figures for operators.
-    pub fn load_reports(&self) -> (&Ledger, u64, &Shown) {
-        (self.intake.ledger(), self.intake.waiting(), self.intake.shown())
+    pub fn load_reports(&self) -> (&Ledger, u64, &IntakeStats) {
+        (self.reports.ledger(), self.reports.held_tries(), self.reports.stats())
     }
 
     /// The answer to a request for the state of load reporting.
     fn reports_answer(&self, now: Duration) -> Answer {
-        let (ledger, shown) = (*self.intake.ledger(), *self.intake.shown());
-        let proxy_line = |(id, hearing, late, rate): (ProxyId, Hearing, Duration, Option<f64>)| ReportsLine {
-            proxy: self.names.proxy_name(id).to_string(),
-            hearing: hearing.name().to_string(),
-            late_ms: late.as_millis() as u64,
-            tries_per_s: rate.unwrap_or(0.0),
-        };
+        let (ledger, shown) = (*self.reports.ledger(), *self.reports.stats());
+        let proxy_line =
+            |(id, hearing, late, rate): (ProxyId, ReportingState, Duration, Option<f64>)| ReportsLine {
+                proxy: self.names.proxy_name(id).to_string(),
+                hearing: hearing.name().to_string(),
+                late_ms: late.as_millis() as u64,
+                tries_per_s: rate.unwrap_or(0.0),
+            };
         Answer::Reports(Box::new(ReportsAnswer {
             reports: ledger.reports,
             offered: ledger.offered,
             given: ledger.given,
-            waiting: self.intake.waiting(),
+            waiting: self.reports.held_tries(),
             late: ledger.late,
             repeated: ledger.repeated,
             doubted: ledger.doubted,
@@ -463,16 +465,16 @@
             strange: ledger.strange,
             mended: ledger.mended,
             thinned: ledger.thinned,
-            conserved: ledger.conserved(self.intake.waiting()),
-            lines_ready: shown.ready,
-            lines_given: shown.given,
-            lines_unsure: shown.unsure,
-            error_most: shown.error_most,
-            heard: shown.heard,
+            conserved: ledger.conserved(self.reports.held_tries()),
+            lines_ready: shown.ready_lines,
+            lines_given: shown.output_lines,
+            lines_unsure: shown.held_back_lines,
+            error_most: shown.max_relative_error,
+            heard: shown.coverage,
             blind: self.load_unknown,
-            lag_ms_middle: shown.lag_middle.as_millis() as u64,
-            lag_ms_most: shown.lag_most.as_millis() as u64,
-            proxies: self.intake.proxies(now).into_iter().map(proxy_line).collect(),
+            lag_ms_middle: shown.median_lag.as_millis() as u64,
+            lag_ms_most: shown.max_lag.as_millis() as u64,
+            proxies: self.reports.proxies(now).into_iter().map(proxy_line).collect(),
         }))
     }
 
@@ -499,15 +501,15 @@
     }
 
     /// The module's entry for a server of the list.
-    fn server_entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> Entry {
+    fn server_entry(&mut self, now: Duration, entry: RosterEntry, unix_ms: u64) -> ServerEntry {
         let server: ServerName = entry.addr.to_string().into();
-        self.publisher.know(server.clone());
-        Entry {
-            ep: self.names.ep(&server),
+        self.publisher.add_known_server(server.clone());
+        ServerEntry {
+            endpoint: self.names.endpoint(&server),
             zone: self.names.zone(&entry.zone),
-            listed: match entry.state {
-                RosterState::Ready => Listed::Ready,
-                RosterState::Draining => Listed::Draining,
+            status: match entry.state {
+                RosterState::Ready => ListedStatus::Ready,
+                RosterState::Draining => ListedStatus::Draining,
             },
             size: entry.size,
             started: self.names.start_time(&server, entry.started_unix_ms, unix_ms, now),
@@ -515,22 +517,27 @@
     }
 
     /// Applies the acquisition or release of a slice.
-    fn apply_custody_event(&mut self, custody_event: Told, events: &mut Vec<Event>, effects: &mut Effects) {
+    fn apply_custody_event(
+        &mut self,
+        custody_event: CustodyEvent,
+        events: &mut Vec<Event>,
+        effects: &mut Effects,
+    ) {
         match custody_event {
-            Told::Given { slice, epoch, owner } => {
+            CustodyEvent::Acquired { slice, epoch, owner } => {
                 let owner: Option<ServerName> = owner.map(Into::into);
-                self.publisher.give(slice, epoch, owner.clone());
-                events.push(Event::Given { slice });
+                self.publisher.acquire_slice(slice, epoch, owner.clone());
+                events.push(Event::SliceAcquired { slice });
                 if let Some(owner) = owner {
-                    events.push(Event::Stored { slice, ep: self.names.ep(&owner) });
+                    events.push(Event::StoredOwner { slice, endpoint: self.names.endpoint(&owner) });
                 }
                 effects.released.remove(&slice);
                 effects.acquired.insert(slice);
             }
-            Told::Taken { slice } => {
-                self.publisher.take(slice);
-                self.intake.drop_slice(slice);
-                events.push(Event::Taken { slice });
+            CustodyEvent::Released { slice } => {
+                self.publisher.release_slice(slice);
+                self.reports.drop_slice(slice);
+                events.push(Event::SliceReleased { slice });
                 effects.acquired.remove(&slice);
                 effects.changed.remove(&slice);
                 effects.released.insert(slice);
@@ -545,16 +552,16 @@
         let (names, module, published) = (&mut self.names, &self.module, self.publisher.published());
         let revokes = orders.iter().filter_map(|order| {
             let Order::Grant { slice, .. } = order else { return None };
-            let ep = names.ep(published.get(slice)?.owner.as_ref()?);
-            let is_leaving = matches!(module.health(ep.index), Health::Draining | Health::Gone);
-            is_leaving.then_some(Order::Revoke { slice: *slice, ep })
+            let endpoint = names.endpoint(published.get(slice)?.owner.as_ref()?);
+            let is_leaving = matches!(module.health(endpoint.index), Health::Draining | Health::Gone);
+            is_leaving.then_some(Order::Revoke { slice: *slice, endpoint })
         });
         let revokes: Vec<Order> = revokes.collect();
         if revokes.is_empty() {
             return;
         }
         let outcome = self.publisher.apply(&revokes, |_| None);
-        effects.log.extend(outcome.faults.iter().map(|violation| format!("not published: {violation}")));
+        effects.log.extend(outcome.violations.iter().map(|violation| format!("not published: {violation}")));
         effects.lines_per_proxy += outcome.slices.len() as u32;
         effects.safety |= outcome.safety;
         effects.changed.extend(outcome.slices);
@@ -565,14 +572,14 @@
         self.revoke_leaving_owners(orders, effects);
         let names = &self.names;
         let changed = self.publisher.apply(orders, |index| names.server(index));
-        effects.log.extend(changed.faults.iter().map(|violation| format!("not published: {violation}")));
+        effects.log.extend(changed.violations.iter().map(|violation| format!("not published: {violation}")));
         effects.changed.extend(changed.slices);
         effects.safety |= changed.safety;
         self.grants_ordered += changed.grants.len() as u64;
         effects.grants.extend(changed.grants);
         for order in orders {
             match order {
-                Order::Mark { mark: ack_seq } => {
+                Order::RequestAck { ack_seq } => {
                     self.ack_seq_ordered_at.insert(*ack_seq, now);
                     if self.followed_ack.is_none() {
                         let awaited = self.joined_streams.keys().copied().collect();
@@ -583,21 +590,21 @@
                     let old = ack_seq.wrapping_sub(30_000);
                     self.ack_seq_ordered_at.remove(&old);
                 }
-                Order::Watch | Order::Fetch => effects.fetch_roster = true,
-                Order::Probe { ep } => effects.probes.extend(names.server(ep.index)),
+                Order::WatchList | Order::FetchList => effects.fetch_roster = true,
+                Order::Probe { endpoint } => effects.probes.extend(names.server(endpoint.index)),
                 Order::Wake { after } => self.next_wake = now + *after,
                 Order::Log { text } => effects.log.push(with_server_names(text, names)),
                 Order::Grant { .. } | Order::Revoke { .. } | Order::Level { .. } => {}
             }
             // A grant's line is counted when it is sent, once the store holds the grant.
-            let uses_line = order.costs_a_line() && !matches!(order, Order::Grant { .. });
+            let uses_line = order.uses_channel_line() && !matches!(order, Order::Grant { .. });
             effects.lines_per_proxy += u32::from(uses_line);
         }
         if let (Some(ack_seq), true) = (effects.ack_seq, self.skip_ack_wait) {
             let acks: Vec<Event> = self
                 .joined_streams
                 .keys()
-                .map(|proxy| Event::Acked { proxy: *proxy, mark: ack_seq, way: Duration::ZERO })
+                .map(|proxy| Event::Acked { proxy: *proxy, ack_seq, transit: Duration::ZERO })
                 .collect();
             let more = self.module.handle(now, &acks);
             self.skip_ack_wait = false;
@@ -613,13 +620,13 @@
 }
 
 /// The log line for when reported load becomes too little to decide on, or enough again.
-fn load_state_message(load_unknown: bool, shown: &Shown) -> String {
-    let [heard, quiet, silent, cut] = shown.proxies;
+fn load_state_message(load_unknown: bool, shown: &IntakeStats) -> String {
+    let [heard, quiet, silent, cut] = shown.proxies_by_state;
     let state =
         if load_unknown { "too little is heard: nothing is decided on it" } else { "enough is heard again" };
     format!(
         "load reports: {state}; {:.0}% of the expected load, {heard} proxies heard, {quiet} quiet, {silent} silent, {cut} cut",
-        shown.heard * 100.0
+        shown.coverage * 100.0
     )
 }
 
--- a/crates/whinhill-assigner/src/name_index.rs
+++ b/crates/whinhill-assigner/src/name_index.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use whinhill::interface::{Ep, ProxyId, ZoneId};
-use whinhill_starts::{Reading, Starts};
+use whinhill::interface::{EndpointId, ProxyId, ZoneId};
+use whinhill_starts::{ClockReading, StartTimes};
 use whinhill_tables::ServerName;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -23,7 +23,7 @@
     zones: Vec<String>,
     proxies: Vec<String>,
     proxy_ids: HashMap<String, ProxyId>,
-    starts: Starts,
+    starts: StartTimes,
 }
 
 impl Names {
@@ -33,16 +33,16 @@
     }
 
     /// The endpoint of a server; a new name is added.
-    pub fn ep(&mut self, server: &str) -> Ep {
-        let stable = xxh3_64(server.as_bytes());
+    pub fn endpoint(&mut self, server: &str) -> EndpointId {
+        let stable_id = xxh3_64(server.as_bytes());
         if let Some(&index) = self.server_indices.get(server) {
-            return Ep { index, stable };
+            return EndpointId { index, stable_id };
         }
         let name: ServerName = server.into();
         let index = self.servers.len();
         self.servers.push(name.clone());
         self.server_indices.insert(name, index);
-        Ep { index, stable }
+        EndpointId { index, stable_id }
     }
 
     /// The index of a server that was on a list or in the store. A name that only occurs in a report is unknown.
@@ -90,7 +90,7 @@
 
     /// Notes that the last list of servers is current.
     pub fn mark_list_current(&mut self, now: Duration) {
-        self.starts.list_is_current(now);
+        self.starts.set_list_current(now);
     }
 
     /// When a server started, on the assigner's clock, from the wall-clock time on the list; `None`: long ago.
@@ -101,8 +101,8 @@
         unix_now_ms: u64,
         now: Duration,
     ) -> Option<Duration> {
-        let reading = Reading { now, wall: Duration::from_millis(unix_now_ms) };
-        let started = self.starts.started(reading, server, started_unix_ms?);
+        let reading = ClockReading { monotonic: now, wall: Duration::from_millis(unix_now_ms) };
+        let started = self.starts.start_time(reading, server, started_unix_ms?);
         started.filter(|at| !at.is_zero())
     }
 }
--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use whinhill::interface::{Ep, Event, LoadReport, ProxyId, ZoneId};
-use whinhill_reports::{Figures, Given, Key, Line, Told};
+use whinhill::interface::{EndpointId, Event, LoadReport, ProxyId, ZoneId};
+use whinhill_reports::{Figures, Key, Line, MergedLine, Report};
 use whinhill_xds::mapping::{server_name, Service};
 use whinhill_xds::proto;
 
@@ -17,15 +17,15 @@
     report: &proto::LoadStatsRequest,
     service: &Service,
     names: &Names,
-) -> Told {
-    let mut reported = Told { proxy, zone, stretch: None, strange: 0, lines: Vec::new() };
+) -> Report {
+    let mut reported = Report { proxy, zone, interval: None, unresolved_lines: 0, lines: Vec::new() };
     for cluster in &report.cluster_stats {
         let Some((slice, method)) = service.of_cluster_name(&cluster.cluster_name) else {
-            reported.strange += 1;
+            reported.unresolved_lines += 1;
             continue;
         };
         let interval = cluster.load_report_interval.as_ref().and_then(proto::read_span);
-        reported.stretch = reported.stretch.max(interval);
+        reported.interval = reported.interval.max(interval);
         let mut demand = Figures { tries: cluster.total_dropped_requests, ..Figures::default() };
         for locality in &cluster.upstream_locality_stats {
             demand.tries += locality.total_issued_requests;
@@ -33,38 +33,46 @@
         }
         // A cluster may be reported only for its work in flight; without new tries that is no report of its demand.
         if demand.tries > 0 {
-            reported.lines.push(Line { key: Key::Came { slice, method }, figures: demand });
+            reported.lines.push(Line { key: Key::Slice { slice, method }, figures: demand });
         }
         let servers = cluster.upstream_locality_stats.iter().flat_map(|l| &l.upstream_endpoint_stats);
         for server in servers.filter(|server| server.total_issued_requests > 0) {
             let name = server.address.as_ref().and_then(server_name);
             let Some(server_index) = name.and_then(|name| names.known(&name)) else {
-                reported.strange += 1;
+                reported.unresolved_lines += 1;
                 continue;
             };
             let tries = server.total_issued_requests;
             let mut endpoint =
                 Figures { tries, lost: server.total_error_requests.min(tries), ..Figures::default() };
             server.load_metric_stats.iter().for_each(|metric| read_metric(&mut endpoint, metric));
-            reported.lines.push(Line { key: Key::Met { server: server_index, zone }, figures: endpoint });
+            reported.lines.push(Line { key: Key::Server { server: server_index, zone }, figures: endpoint });
         }
     }
     reported
 }
 
 /// The module's event for a line of the intake.
-pub fn event(line: &Given, ep: impl Fn(usize) -> Ep) -> Event {
-    let (figures, span) = (&line.figures, line.span);
+pub fn event(line: &MergedLine, endpoint: impl Fn(usize) -> EndpointId) -> Event {
+    let (figures, interval) = (&line.figures, line.interval);
     match line.key {
-        Key::Came { slice, method } => {
+        Key::Slice { slice, method } => {
             let lost = figures.lost.min(figures.tries);
-            Event::Demand { slice, method, rpcs: figures.tries, lost, span }
+            Event::Demand { slice, method, rpcs: figures.tries, lost, interval }
         }
-        Key::Met { server, zone } => {
-            let mean_wait_ms = if figures.oks > 0 { figures.wait_ms / figures.oks as f64 } else { 0.0 };
-            let wait = Duration::try_from_secs_f64(mean_wait_ms / 1e3).unwrap_or_default();
+        Key::Server { server, zone } => {
+            let mean_wait_ms = if figures.ok > 0 { figures.wait_ms / figures.ok as f64 } else { 0.0 };
+            let mean_wait = Duration::try_from_secs_f64(mean_wait_ms / 1e3).unwrap_or_default();
             let (tries, lost) = (figures.tries, figures.lost);
-            Event::Met { ep: ep(server), zone, tries, lost, wait, span, load: figures.load }
+            Event::TryReport {
+                endpoint: endpoint(server),
+                zone,
+                tries,
+                lost,
+                mean_wait,
+                interval,
+                load: figures.load,
+            }
         }
     }
 }
@@ -77,7 +85,7 @@
         return;
     }
     if metric.metric_name == "wait_ms" {
-        endpoint.oks += count;
+        endpoint.ok += count;
         endpoint.wait_ms += value;
     } else {
         read_load(&mut endpoint.load, &metric.metric_name, value / count as f64);
@@ -88,9 +96,9 @@
 pub fn read_load(load: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu" => load.cpu = Some(value),
-        "in_hand" => load.in_hand = Some(value),
-        "queue" => load.waiting = Some(value),
-        "service_ms" => load.service = Duration::try_from_secs_f64(value / 1e3).ok(),
+        "in_hand" => load.in_flight = Some(value),
+        "queue" => load.queued = Some(value),
+        "service_ms" => load.service_time = Duration::try_from_secs_f64(value / 1e3).ok(),
         _ => {}
     }
 }
--- a/crates/whinhill-node/src/sockets.rs
+++ b/crates/whinhill-node/src/sockets.rs
@@ -63,9 +63,9 @@
             ConnectionKind::Closing { .. } => self.client_count -= 1,
             ConnectionKind::Client { peer, .. } => {
                 self.client_count -= 1;
-                self.unjoined_count -= usize::from(!peer.joined());
+                self.unjoined_count -= usize::from(!peer.has_joined());
             }
-            ConnectionKind::Probe { ep, .. } => self.probe_queue.remove_connection(ep.index),
+            ConnectionKind::Probe { endpoint, .. } => self.probe_queue.remove_connection(endpoint.index),
             _ => {}
         }
         for holder in [
