--- a/crates/whinhill/src/assigner.rs
+++ b/crates/whinhill/src/assigner.rs
@@ -101,13 +101,16 @@
         })
     }
 
-    /// Applies all that happened at `now` and returns the orders to carry out, those that safety depends on first.
+    /// Applies all that happened at `now` and returns the orders to carry out, in sequence: for one slice, grants and
+    /// revokes come before levels.
     pub fn handle(&mut self, now: Duration, events: &[Event]) -> Vec<Order> {
         self.now = now;
         let intervals: Vec<Duration> = events.iter().filter_map(Event::interval).collect();
         let reports_start_period = !intervals.is_empty()
             && now + self.cfg.period.mul_f64(EARLY_PERIOD_FRACTION) >= self.next_period_at;
-        // When there is more to report than the feed carries, reports come late, and each covers a longer interval.
+        // When there is more to report than the stream from the collectors carries, reports come late, and each covers
+        // a longer interval: the half-life follows their median interval. A call with no more reports than ready
+        // servers says nothing about that.
         let has_many_reports = intervals.len() > self.ready_servers().count();
         let usual_interval = has_many_reports.then(|| median(intervals)).flatten();
         self.half_life = usual_interval.map_or(self.half_life, |interval| interval.max(self.cfg.period));
--- a/crates/whinhill/src/interface.rs
+++ b/crates/whinhill/src/interface.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A proxy, by the number that the feed gave it.
+/// A proxy, by the number that the assigner's caller gave it.
 pub type ProxyId = u32;
 /// A slice, counted from 0.
 pub type SliceId = usize;
@@ -106,7 +106,7 @@
     /// The list of servers, or changes of it, have come.
     List { kind: ListKind, entries: Vec<ServerEntry> },
     /// A report of the tries that the joined proxies of a zone sent to a server for slices in custody. `mean_wait` is the
-    /// mean wait of ok answers.
+    /// mean wait of ok answers, and `lost` counts the tries without an ok answer.
     TryReport {
         endpoint: EndpointId,
         zone: ZoneId,
@@ -142,12 +142,15 @@
 /// A server's state, as far as slices are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
+    /// It is listed as ready, healthy and warm.
     Ready,
     /// It is ready, but still warming up.
     Cold,
     /// It is listed as ready, but its slices leave, and it gets no others for a time.
     Sick,
+    /// The list says that it drains.
     Draining,
+    /// It is not in the list, or its index is unknown.
     Gone,
 }
 
@@ -192,7 +195,9 @@
     Grant { slice: SliceId, endpoint: EndpointId },
     /// Remove the owner's line from every proxy's table.
     Revoke { slice: SliceId, endpoint: EndpointId },
-    /// Set the level of some methods of a slice: the share of their RPCs that is admitted, or their rate.
+    /// Set the level of some methods of a slice: the share of their RPCs that is admitted, or their rate. `tries` is
+    /// the retry policy of the slice's RPCs. 0: no further try; 1: one, after proof that the first never ran; 2: one
+    /// and 3: two after any failure.
     Level { slice: SliceId, level: f64, methods: MethodMask, tries: u8 },
     /// Request that every joined proxy acknowledges the message of this reply with the sequence number `ack_seq`.
     RequestAck { ack_seq: u16 },
--- a/crates/whinhill/src/settings.rs
+++ b/crates/whinhill/src/settings.rs
@@ -6,8 +6,11 @@
 
 /// A method of the service.
 pub struct Method {
+    /// The soft deadline of its RPCs: a later answer is worth less. Their work is taken to be in proportion to it.
     pub soft_deadline: Duration,
+    /// The higher, the later its RPCs are rejected.
     pub criticality: f64,
+    /// Its RPCs write. They are taken to where the settings do not say.
     pub writes: bool,
 }
 
@@ -26,17 +29,20 @@
 pub struct Config {
     /// The list is followed by a subscription to its changes.
     pub watch_list: bool,
-    /// The list must be requested again within this time.
+    /// Without a watch, the list must be requested at least this often; the platform allows four times as long after a
+    /// failed request.
     pub max_list_request_interval: Duration,
     /// A server that the list merely drops may stay in the tables.
     pub gone_is_advisory: bool,
+    /// Servers may be probed.
     pub may_probe: bool,
     pub methods: Vec<Method>,
     /// The methods' indices, least critical first.
     pub methods_by_criticality: Vec<usize>,
     /// The mean soft deadline of the methods, in seconds.
     pub mean_soft_deadline_s: f64,
-    /// The number of tries of an RPC that levels tell proxies.
+    /// The retry policy that levels tell proxies. 0: no further try; 1: one, after proof that the first never ran; 2:
+    /// one and 3: two after any failure.
     pub tries: u8,
     /// The time between evaluations of the fleet, and between reports.
     pub period: Duration,
@@ -44,6 +50,7 @@
     pub exclusive: bool,
     /// Writes to a slice must have ended at one owner before the next one gets any.
     pub fence_writes: bool,
+    /// How proxies apply levels.
     pub admission: Admission,
     /// How long a proxy goes on writing by its table after it has lost its stream; zero where writes are not fenced.
     pub write_lease: Duration,
@@ -55,7 +62,8 @@
     pub settle_time: Duration,
     /// How long a proxy may have no line for a slice.
     pub max_time_without_line: Duration,
-    /// How long a fenced move of a slice takes.
+    /// How long a fenced move of a slice may take: the write lease and the settle time. Unlike those, it is not set to
+    /// zero where writes are not fenced.
     pub fenced_move_time: Duration,
     /// The time after which a drained server must be sent nothing more.
     pub drain_grace: Duration,
--- a/crates/whinhill/src/state.rs
+++ b/crates/whinhill/src/state.rs
@@ -32,9 +32,11 @@
         let decay = |age: Duration| 0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64());
         let interval = interval.clamp(Duration::from_millis(1), half_life);
         let half_lives = interval.as_secs_f64() / half_life.as_secs_f64();
-        let mean_decay = (1.0 - 0.5f64.powf(half_lives)) / (half_lives * 0.5);
+        // The mean decay over the interval in relation to that over one half-life: a report that covers one half-life
+        // counts in full.
+        let weight = (1.0 - 0.5f64.powf(half_lives)) / (half_lives * 0.5);
         let decayed = self.value * decay(now.saturating_sub(self.updated_at));
-        *self = DecayingSum { value: decayed + amount * mean_decay, updated_at: now };
+        *self = DecayingSum { value: decayed + amount * weight, updated_at: now };
     }
 }
 
@@ -111,7 +113,7 @@
     pub probes_unreliable: bool,
     /// Until when it stays unhealthy at least; `None`: it is healthy.
     pub unhealthy_until: Option<Duration>,
-    /// When it was last marked unhealthy.
+    /// When it was last marked unhealthy. Only for debug output.
     pub marked_unhealthy_at: Duration,
     /// Tries that were reported since then.
     pub tries_since_unhealthy: u64,
@@ -121,7 +123,8 @@
     pub overloaded: bool,
     /// Ok answers come, but late, or its cores are busy: lost tries and missed probes are signs of load then.
     pub under_load: bool,
-    /// Work a second that it was learned to be able to do.
+    /// Work a second that it was learned to be able to do. It is learned from the rate of its ok answers, each of which
+    /// counts as one average RPC.
     pub learned_limit: Option<f64>,
     /// When that limit was last lowered.
     pub limit_reduced_at: Option<Duration>,
@@ -145,6 +148,7 @@
 pub struct BatchAnswers {
     /// When the first report of the batch came.
     pub batch_began_at: Duration,
+    /// Tries that the reports of the batch count.
     pub tries: f64,
     /// Tries that were not lost.
     pub oks: f64,
@@ -221,7 +225,8 @@
         self.probes_unreliable = false;
     }
 
-    /// The fraction of its probes that it missed of late although it was healthy.
+    /// The fraction of its probes that it missed of late although it was healthy. One more answered probe is counted,
+    /// so that the fraction is 0 before any probe.
     pub fn false_miss_rate(&self, now: Duration) -> f64 {
         let missed = self.recovered_misses.read(now, PROBE_MEMORY_HALF_LIFE);
         missed / (missed + self.probes_answered.read(now, PROBE_MEMORY_HALF_LIFE) + 1.0)
@@ -285,11 +290,11 @@
     pub answers_overdue: bool,
 }
 
-/// A proxy that has been joined at least once.
+/// A proxy that has joined at least once.
 #[derive(Clone, Copy, Debug)]
 pub struct Proxy {
     pub zone: ZoneId,
-    /// Its stream stands.
+    /// Its stream is open.
     pub joined: bool,
     /// When it joined or left.
     pub state_since: Duration,
@@ -301,7 +306,8 @@
 pub struct Handover {
     /// The proxies whose acknowledgement the grant waits for, or has waited for.
     pub acks: BTreeMap<ProxyId, ProxyAck>,
-    /// After this, no proxy that has acknowledged writes to the old owner, nor one that has never joined this assigner.
+    /// From then on, neither a proxy that has acknowledged nor one that has never joined this assigner sends writes to
+    /// the old owner.
     pub acked_writes_end_at: Duration,
     /// The acknowledgement requested with the message that stops writes.
     pub stop_ack_seq: u64,
@@ -331,7 +337,7 @@
 /// Whether a proxy has acknowledged that it sends no more writes to the old owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AckState {
-    /// It joined during the handover and has yet to be notified.
+    /// It has yet to be notified: it joined during the handover, or it was joined when the slice was acquired.
     NotNotified,
     /// It must acknowledge this sequence number or a later one.
     Pending(u64),
@@ -392,7 +398,7 @@
 }
 
 impl Slice {
-    /// The fraction of its RPCs that proxies were told to admit, by the method that is admitted most.
+    /// The fraction of its RPCs that the published levels admit, by the method that is admitted most.
     pub fn admitted_fraction(&self) -> f64 {
         self.published_levels.iter().copied().fold(0.0, f64::max).min(1.0)
     }
