--- a/crates/whinhill/src/assigner/admission.rs
+++ b/crates/whinhill/src/assigner/admission.rs
@@ -30,13 +30,14 @@
                 self.is_cold(i).then(|| snapshot.cold_budgets[i] / snapshot.load_per_demand[i].max(1e-9));
             let limit = cold_budget.map_or(snapshot.limits[i], |budget| budget.min(snapshot.limits[i]));
             let limit = limit * self.queue_drain_factor(i);
-            let mut excess = (1.0 - limit / offered.max(1e-9)).clamp(0.0, 0.9);
+            let mut excess = (1.0 - limit / offered.max(1e-9)).clamp(0.0, MAX_REJECTED_FRACTION);
             self.servers[i].rejected_fraction = excess;
             let mut cutoff = 0.0;
             for method_share in method_work.iter().map(|work| (work / all_work).max(1e-9)) {
                 cutoff += (excess / method_share).clamp(0.0, 1.0);
                 excess -= method_share;
             }
+            // Half of the most critical method's RPCs are admitted whatever the limit is.
             self.servers[i].criticality_cutoff = cutoff.min(method_work.len() as f64 - 0.5);
         }
     }
--- a/crates/whinhill/src/assigner/channel.rs
+++ b/crates/whinhill/src/assigner/channel.rs
@@ -25,7 +25,7 @@
         Duration::from_secs_f64(slowed_lines / self.cfg.lines_per_s)
     }
 
-    /// The number of proxies whose streams stand.
+    /// The number of proxies whose streams are open.
     pub(super) fn joined_proxies(&self) -> usize {
         self.proxies.values().filter(|proxy| proxy.joined).count()
     }
--- a/crates/whinhill/src/assigner/evacuation.rs
+++ b/crates/whinhill/src/assigner/evacuation.rs
@@ -93,19 +93,20 @@
 
     /// The destination of a slice that must leave, also where no server has headroom. Then any ready server is chosen
     /// by weighted rendezvous hashing: the slices of all assigners spread in proportion to free capacity, though none
-    /// of them knows what the others move, and levels admit what each server can do. Without levels nothing would keep
-    /// a cold server within its budget: then the least loaded warm server is chosen.
+    /// of them knows what the others move, and levels admit what each server can do. Where levels are not shares,
+    /// nothing would keep a cold server within its budget: then the least loaded warm server is chosen.
     pub(super) fn destination(&self, id: SliceId, snapshot: &LoadSnapshot) -> Option<usize> {
-        let has_levels = self.cfg.admission == Admission::Share;
-        // Servers that accept no slices come last; before them those not seen to serve, and cold ones without levels.
+        let levels_are_shares = self.cfg.admission == Admission::Share;
+        // Servers that accept no slices come last; before them those not seen to serve, and cold ones where levels are
+        // not shares.
         let unfit = |i: &usize| {
             let server = &self.servers[*i];
-            (!accepts_slices(server), !server.seen_serving || !has_levels && self.is_cold(*i))
+            (!accepts_slices(server), !server.seen_serving || !levels_are_shares && self.is_cold(*i))
         };
         let score = |i: &usize| {
             let server = &self.servers[*i];
             let load = snapshot.loads[*i].max(snapshot.own_loads[*i]);
-            if !has_levels {
+            if !levels_are_shares {
                 return load + self.added_load(snapshot, id, *i);
             }
             let free = (1.0 - load).max(MIN_FREE_FRACTION);
--- a/crates/whinhill/src/assigner/handover.rs
+++ b/crates/whinhill/src/assigner/handover.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Notifies the proxies that have joined during handovers, those of one tick together.
+    /// Requests an acknowledgement from the proxies that have yet to be notified of a handover, those of one tick
+    /// together.
     pub(super) fn notify_joined_proxies(&mut self) {
         for handover in self.slices.iter_mut().filter_map(|slice| slice.handover.as_mut()) {
             for ack in handover.acks.values_mut().filter(|ack| ack.state == AckState::NotNotified) {
--- a/crates/whinhill/src/assigner/handover/property.rs
+++ b/crates/whinhill/src/assigner/handover/property.rs
@@ -1,8 +1,9 @@
 //! Checks on random faults that no proxy lacks a line for longer than a bound and that no two servers get writes at
 //! the same time.
 //!
-//! The model covers proxies, store and channel: messages arrive in order or are lost with the stream, a proxy without
-//! a stream sends writes until its lease ends, and a proxy whose stream is back reads the store within a second.
+//! The model covers proxies, store and channel as the simulator's protocol describes them: messages arrive in order or
+//! are lost with the stream, a proxy without a stream sends writes until its lease ends, and a proxy whose stream is
+//! back reads the store within a second.
 
 use std::collections::VecDeque;
 
--- a/crates/whinhill/src/assigner/health.rs
+++ b/crates/whinhill/src/assigner/health.rs
@@ -121,8 +121,8 @@
         let all_lost = sum(|s| &s.lost_tries);
         let expected_rates = self.admitted_rates();
 
-        // Silence is a sign of failure only if reports come: from most servers, or at least from half of those from
-        // which answers are due. Nothing is reported of servers without slices in custody.
+        // Missing answers are a sign of failure only if reports come: from most servers, or at least from half of those
+        // from which answers are due. Nothing is reported of servers without slices in custody.
         let is_answer_due = |expected_rate: &f64| expected_rate * half_life.as_secs_f64() >= 1.0;
         let rates = self.servers.iter().zip(&expected_rates);
         let due: Vec<&Server> = rates.filter(|(_, rate)| is_answer_due(rate)).map(|(s, _)| s).collect();
--- a/crates/whinhill/src/assigner/list.rs
+++ b/crates/whinhill/src/assigner/list.rs
@@ -63,7 +63,8 @@
                 };
                 has_restarted = true;
             }
-            // A list may be wrong: where it is advisory, a dropped server that serves stays until its answers end too.
+            // A list may be wrong: where removal is advisory, a dropped server that serves stays until its answers
+            // end too.
             server.dropped_from_list = gone_is_advisory
                 && entry.status == ListedStatus::Gone
                 && server.listed_status == ListedStatus::Ready;
--- a/crates/whinhill/src/assigner/load.rs
+++ b/crates/whinhill/src/assigner/load.rs
@@ -46,7 +46,8 @@
         self.slices.iter().filter(|s| s.in_custody).count() as f64 / self.slices.len().max(1) as f64
     }
 
-    /// A server's present capacity as a fraction of its full one, at the slowest warm-up that the rules allow.
+    /// A server's present capacity as a fraction of its full one, at the slowest warm-up that the platform's rules
+    /// allow.
     pub(super) fn slow_start_factor(&self, server: &Server) -> f64 {
         let Some(started_at) = server.started_at else { return 1.0 };
         let age = self.now.saturating_sub(started_at).as_secs_f64() / self.cfg.warm_up_time.as_secs_f64();
@@ -106,8 +107,8 @@
             known.fold((0.0, 0.0), |(loads, demands), (load, demand)| (loads + load, demands + demand));
         let usual_unit = if known_demand > 0.0 { known_load / known_demand } else { 0.0 };
         // Lost tries show that the load is larger than that. A cold server must not show it by collapsing, and nothing
-        // else is known of servers that have just returned. Where tries are lost for another reason, cold servers get
-        // their load later than they could.
+        // else shows it to an assigner that has just restarted, since it has learned no capacity yet. Where tries are
+        // lost for another reason, cold servers get their load later than they could.
         let sum = |f: fn(&Server) -> &DecayingSum| {
             ready.iter().map(|s| f(s).read(now, self.half_life)).sum::<f64>()
         };
--- a/crates/whinhill/src/assigner/plan.rs
+++ b/crates/whinhill/src/assigner/plan.rs
@@ -1,4 +1,5 @@
-//! Plans: the three stages of SWAT (leveling, elimination, mitigation), and the batches that carry a plan out.
+//! Plans: the three stages of the load balancing method SWAT (leveling, elimination, mitigation; source in
+//! `docs/design.md`), and the batches that carry a plan out.
 
 use super::*;
 
--- a/crates/whinhill/src/assigner/reports.rs
+++ b/crates/whinhill/src/assigner/reports.rs
@@ -52,6 +52,7 @@
             let (Some(first), Some(second)) = (later.next(), later.next()) else { continue };
             server.granted_while_idle_at = None;
             let interval = second.batch_began_at.saturating_sub(first.batch_began_at).as_secs_f64();
+            // An estimate needs enough tries in the second batch, and two batches that follow each other.
             if second.tries < MIN_TRIES || interval > 1.5 * self.half_life.as_secs_f64() {
                 continue;
             }
--- a/crates/whinhill/src/assigner/suspicion.rs
+++ b/crates/whinhill/src/assigner/suspicion.rs
@@ -41,13 +41,15 @@
         }
     }
 
-    /// Takes the result of a probe; a server that does not answer is probed again at once.
+    /// Takes the result of a probe; a server that misses one is probed again at once, until it has missed
+    /// `DEAD_AFTER_MISSES` in a row.
     pub(super) fn apply_probe_result(&mut self, endpoint: EndpointId, result: ProbeOutcome) {
         let (now, may_probe, period) = (self.now, self.cfg.may_probe, self.cfg.period);
         let is_first_miss =
             result == ProbeOutcome::Unanswered && self.server_mut(endpoint).unresponsive_since.is_none();
         let admitted_rate = if is_first_miss { self.admitted_rates()[endpoint.index] } else { 0.0 };
         let server = self.server_mut(endpoint);
+        // A probe is taken to have been ordered at most a period ago.
         let earliest = now.saturating_sub(period);
         let ordered_at = server.probe_ordered_at.take().map_or(now, |at| at.max(earliest));
         match result {
@@ -101,7 +103,8 @@
         }
     }
 
-    /// The fraction of their probes that servers missed of late although they were healthy.
+    /// The fraction of their probes that servers missed of late although they were healthy. One more answered probe is
+    /// counted, so that the fraction is 0 before any probe.
     fn fleet_false_miss_rate(&self) -> f64 {
         let sum = |f: fn(&Server) -> &DecayingSum| -> f64 {
             self.servers.iter().map(|server| f(server).read(self.now, PROBE_MEMORY_HALF_LIFE)).sum()
@@ -125,7 +128,7 @@
         zones
     }
 
-    /// Zones whose servers' silence says nothing about the servers, since the path to them is broken or may be.
+    /// Zones whose servers' missing answers say nothing about the servers, since the path to them is broken or may be.
     pub(super) fn unreachable_zones(&self) -> BTreeSet<ZoneId> {
         let zones: BTreeSet<ZoneId> = self.servers.iter().map(|s| s.zone).collect();
         let is_unreachable =
--- a/crates/whinhill/src/assigner/tuning.rs
+++ b/crates/whinhill/src/assigner/tuning.rs
@@ -1,7 +1,8 @@
 //! Thresholds, delays and factors of the decisions.
 //!
-//! A *fill* is the number of lines queued in the channel to the proxies, as a fraction of the backlog that it may
-//! hold. Work that has a start fill and a stop fill begins below the first and goes on below the second.
+//! A *fill* is the number of lines queued in the channel to the proxies, with those of the current reply, as a fraction
+//! of the backlog that it may hold; where messages are limited, the messages sent in the window count likewise.
+//! Work that has a start fill and a stop fill begins below the first and goes on below the second.
 
 use std::time::Duration;
 
@@ -21,7 +22,8 @@
 pub(super) const MIN_FREE_FRACTION: f64 = 0.05;
 /// How long a slice stays after a grant before a plan may move it.
 pub(super) const MOVE_COOLDOWN: Duration = Duration::from_secs(20);
-/// Delay before the list is requested again after a first failure; it doubles with each further failure.
+/// Delay before the list is requested again after a first failure. It doubles with each further failure, to eight times
+/// this delay at most, and is varied at random by up to 30%.
 pub(super) const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Demand that an idle slice counts for on a cold server, as a fraction of an average slice's.
 pub(super) const IDLE_SLICE_FRACTION: f64 = 0.6;
@@ -76,23 +78,26 @@
 /// left. It is smaller than `COLD_SHARE_EXPONENT` since the assigners seldom all take some at once.
 pub(super) const COLD_REMAINDER_EXPONENT: f64 = 0.5;
 
-/// Fill below which a batch of a plan starts.
+/// Fill below which a batch of a plan starts. From this fill on, every message requests an acknowledgement. A drain of
+/// fenced slices that would exceed it revokes lines at once.
 pub(super) const PLAN_START_FILL: f64 = 0.25;
 /// Fill below which slices start to leave unhealthy or cold owners, and levels are tuned.
 pub(super) const LEAVE_START_FILL: f64 = 0.3;
-/// Fill at which no more slices leave unhealthy or cold owners.
+/// Fill at which no more slices leave unhealthy or cold owners, and the RPCs of no more slices are rejected because
+/// their owner is suspected.
 pub(super) const LEAVE_STOP_FILL: f64 = 0.6;
 /// Fill below which grants start.
 pub(super) const GRANT_START_FILL: f64 = 0.3;
-/// Fill at which no more slices are granted.
+/// Fill at which no more slices are granted, unless a grant is urgent. Overdue acknowledgements are not requested, and
+/// slices whose RPCs are all rejected stay so.
 pub(super) const GRANT_STOP_FILL: f64 = 0.5;
 /// Fill below which drains start.
 pub(super) const DRAIN_START_FILL: f64 = 0.8;
-/// Fill at which no more drains start.
+/// Fill at which no more drains start, no urgent grants are ordered, and no calls are sent again.
 pub(super) const DRAIN_STOP_FILL: f64 = 0.9;
 /// Fill below which the levels of slices at cold servers are tuned.
 pub(super) const COLD_TUNING_FILL: f64 = 0.5;
-/// Fill below which proxies that have joined are told of the handovers in progress.
+/// Fill below which proxies that have joined are notified of the handovers in progress.
 pub(super) const NOTIFY_FILL: f64 = 0.5;
 /// Fraction of the time for which a proxy may have no line after which a grant may fill the channel as far as drains
 /// do.
@@ -111,6 +116,8 @@
 pub(super) const MIN_LIMIT_INCREASE_FACTOR: f64 = 1.06;
 /// Largest factor by which a limit may exceed what the server does, in a period without late answers.
 pub(super) const MAX_LIMIT_INCREASE_FACTOR: f64 = 1.5;
+/// Largest fraction of the offered work that a server rejects because of its limit or its cold budget.
+pub(super) const MAX_REJECTED_FRACTION: f64 = 0.9;
 /// Time in which a queue that makes answers late should drain.
 pub(super) const QUEUE_DRAIN_TIME: Duration = Duration::from_secs(1);
 /// Reporting intervals after which the effect of a lowered limit shows in reports.
@@ -118,12 +125,14 @@
 
 /// Largest number of probes of each ready server in a period.
 pub(super) const MAX_PROBE_ROUNDS: u32 = 3;
-/// Largest number of probes by all assigners for each RPC, as long as there is one round of probes a period.
+/// Largest number of probes by all assigners for each RPC. One round of probes a period is ordered even if it exceeds
+/// this. While no RPCs are reported, it does not apply.
 pub(super) const MAX_PROBES_PER_RPC: f64 = 0.3;
 /// Consecutive unanswered probes from which a server is unhealthy, if no answers to RPCs are reported either.
 pub(super) const DEAD_AFTER_MISSES: u32 = 2;
-/// How long all slices of a zone whose servers all became unresponsive are only rejected before the servers count as
-/// dead. If the path to the zone is broken, the broken streams of its proxies are noticed within this time.
+/// How long the slices of a zone whose servers have all become unresponsive stay, with their RPCs rejected, before the
+/// servers count as dead. If the path to the zone is broken, the broken streams of its proxies are noticed within this
+/// time.
 pub(super) const ZONE_CONFIRMATION_TIME: Duration = Duration::from_secs(3);
 /// How long a server that is unhealthy by its probes alone gets no slices, at least.
 pub(super) const PROBE_UNHEALTHY_DURATION: Duration = Duration::from_secs(3);
