--- a/crates/whinhill-errors/src/retry.rs
+++ b/crates/whinhill-errors/src/retry.rs
@@ -1,5 +1,5 @@
 //! Retries calls that fail because this machine temporarily lacks a descriptor, port, route or memory. Such a failure
-//! does not indicate a problem with the peer.
+//! does not indicate a problem with the peer. The calls are retried for a short time only.
 
 use std::io;
 use std::time::{Duration, Instant};
--- a/crates/whinhill-names/src/lib.rs
+++ b/crates/whinhill-names/src/lib.rs
@@ -1,6 +1,7 @@
 //! Maps the names of servers, zones, methods and load report figures to the small indices that `whinhill` uses.
 //!
-//! The simulator host and the platform adapter share it.
+//! The simulator host (`whinhill-simhost`), the assigner on the operators' platform (`whinhill-node`,
+//! `whinhill-platform`) and the command line (`whinhill-cli`) share it.
 //!
 //! ```
 //! use whinhill::interface::Settings;
