--- a/crates/whinhill-node/src/clients.rs
+++ b/crates/whinhill-node/src/clients.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A client that was sent its last answer has sent more.
+    /// Discards what a client sends after its last answer, and closes its connection after [`MAX_DISCARDED_BYTES`].
     pub fn discard_from_closing(&mut self, id: Id, bytes: usize) {
         let Some(Connection { kind: ConnectionKind::Closing { discarded }, .. }) =
             self.connections.get_mut(id)
@@ -211,8 +211,9 @@
         self.connections.get(id).is_some()
     }
 
-    /// A collector that lost its connection comes back on a new one, and the end of the old one may go unnoticed.
-    /// The one that joined last stays, even if it connected first.
+    /// Closes the oldest connection of a zone's collector if there are more than [`MAX_COLLECTORS_PER_ZONE`]. A
+    /// collector that lost its connection comes back on a new one, and the end of the old one may go unnoticed. The
+    /// one that joined last stays, even if it connected first.
     fn limit_collectors(&mut self, newest: Id) {
         if self.keeps_all_connections() {
             return;
--- a/crates/whinhill-node/src/clock.rs
+++ b/crates/whinhill-node/src/clock.rs
@@ -3,7 +3,8 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A smaller change of the wall clock counts as a slew, not a step: slewing runs at half a millisecond a second.
+/// A change of the wall clock's offset by at least this much counts as a step. A slew runs at half a millisecond a
+/// second and takes minutes to add up to it.
 const MIN_STEP: Duration = Duration::from_millis(250);
 
 /// A monotonic clock that starts at Unix time.
@@ -11,7 +12,7 @@
 pub struct Clock {
     started_unix: Duration,
     started_at: Instant,
-    /// Offset of the wall clock from this clock at the last check for a step, in milliseconds.
+    /// Offset of the wall clock from this clock when a step was last detected (0 at the start), in milliseconds.
     wall_offset_ms: i64,
 }
 
@@ -33,7 +34,8 @@
         wall()
     }
 
-    /// Whether the wall clock was stepped since the last check.
+    /// Whether the wall clock's offset has changed by at least [`MIN_STEP`] since a step was last detected. A slew
+    /// that lasts for minutes adds up to that and counts as a step as well.
     pub fn detect_step(&mut self) -> bool {
         let ahead = millis(wall()) - millis(self.now());
         let stepped = ahead.abs_diff(self.wall_offset_ms) >= MIN_STEP.as_millis() as u64;
--- a/crates/whinhill-node/src/deadlines.rs
+++ b/crates/whinhill-node/src/deadlines.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Moves a deadline that is set to `at` if it would come earlier.
+    /// Moves a deadline that is set for a time before `at` to `at`.
     pub fn postpone(&mut self, kind: DeadlineKind, at: Duration) {
         if self.by_kind.get(&kind).is_some_and(|earlier| *earlier < at) {
             self.set(kind, at);
--- a/crates/whinhill-node/src/discovery.rs
+++ b/crates/whinhill-node/src/discovery.rs
@@ -15,7 +15,8 @@
     /// The module wants to be notified of changes.
     pub fn start_discovery_watch(&mut self) {
         if let Some(id) = self.discovery_watch_connection {
-            // A watch that has been answered has sent everything; one that is being opened will be answered.
+            // An answered watch has sent all changes, so the module is told that there are none; one that is being
+            // opened will be answered.
             if self.is_discovery_watch_answered(id) {
                 self.pending_events.push(Event::List { kind: ListKind::Changes, entries: Vec::new() });
             }
--- a/crates/whinhill-node/src/event_loop.rs
+++ b/crates/whinhill-node/src/event_loop.rs
@@ -153,6 +153,7 @@
             }
             DeadlineKind::RelayWatch(place) => self.handle_relay_watch_timeout(place),
             DeadlineKind::ReopenRelayWatch => self.open_relay_watch(),
+            // `schedule_work` starts the call in the next turn of the loop; the deadline only wakes it.
             DeadlineKind::RelayCall => {}
             DeadlineKind::RetryAccept => self.accept_clients(AcceptTrigger::Retry),
             DeadlineKind::CheckAllSockets => self.check_all_sockets(),
--- a/crates/whinhill-node/src/limits.rs
+++ b/crates/whinhill-node/src/limits.rs
@@ -10,10 +10,12 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time limit of a relay call. The relay answers within 50 ms or never; the rest allows for a shared core.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest time for which a call with an unknown outcome waits for headroom before it is sent again. The time
-/// limits of the rules are delayed by as much where the relay breaks a call, and by more where it is silent.
+/// Longest time for which a call with an unknown outcome waits until the module's channel has room for its orders a
+/// second time; then it is sent again all the same. What the platform's rules require within a time limit is delayed
+/// by up to as much where the relay breaks a call, and by more where it is silent.
 pub const MAX_UNKNOWN_OUTCOME_WAIT: Duration = Duration::from_millis(500);
-/// How often it is checked whether such a call may be sent again: as often as the module checks its channel.
+/// How often it is checked whether a call with an unknown outcome may be sent again: as often as the module checks
+/// its channel.
 pub const UNKNOWN_OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// A call connection that has been idle for longer is replaced before the next call: the relay closes it at 10 s or
 /// less.
@@ -27,7 +29,7 @@
 /// second.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A discovery watch that has been silent for this long has failed. It sends a sign of life every 2 s, and silence
-/// must be detected well within the 6 s that the rules allow.
+/// must be detected well within the 6 s that the platform's rules allow.
 pub const DISCOVERY_WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Time limit of a probe: a server that takes longer to answer is not serving.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -44,7 +46,8 @@
 pub const MIN_PROBE_LIMIT: usize = 16;
 /// Largest limit of concurrent probes.
 pub const MAX_PROBE_LIMIT: usize = 256;
-/// Largest number of connections of one zone's collector. The newest is the live one; the ends of others may not have been noticed.
+/// Largest number of connections of one zone's collector. The newest is the live one; the ends of others may not have
+/// been noticed.
 pub const MAX_COLLECTORS_PER_ZONE: usize = 3;
 /// Descriptors of the process itself: standard streams, poll, signals, listener, configuration file.
 pub const RESERVED_FOR_PROCESS: usize = 12;
@@ -52,21 +55,24 @@
 pub const RESERVED_FOR_OUTGOING: usize = 8;
 /// Descriptors that clients may not use; those of probes are added.
 pub const RESERVED_DESCRIPTORS: usize = RESERVED_FOR_PROCESS + RESERVED_FOR_OUTGOING;
+/// Smallest number of connection slots for clients, however few sockets are allowed.
+pub const MIN_CLIENT_SLOTS: usize = 8;
 /// Largest number of failures of `accept` in one turn. Most failures pass at once, and a client that waits longer
 /// soon misses its time limit.
 pub const MAX_ACCEPT_FAILURES: u32 = 16;
 /// Delay before accepting continues: after failures, while all slots are taken, and where a client may still be
 /// waiting.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Calls of `accept` in a row that find the listen queue empty after the poll has reported it readable. A call may
-/// return `WouldBlock` although a client is waiting.
+/// Calls of `accept` in a row that must find the listen queue empty before it counts as empty, after the poll has
+/// reported it readable or in a retry. A call may return `WouldBlock` although a client is waiting.
 pub const ACCEPT_ATTEMPTS: u32 = 16;
-/// The same for checks that the poll has not asked for.
+/// The same for the periodic check of all sockets.
 pub const PERIODIC_ACCEPT_ATTEMPTS: u32 = 4;
-/// Where the poll reported a client and none was found, the queue is checked this often, each time after
+/// Where the poll reported a client and none was found, the queue is checked this many times, each time after
 /// [`ACCEPT_RETRY_DELAY`]: for 0.2 s, after which the periodic checks of all sockets go on.
 pub const ACCEPT_RETRIES: u32 = 40;
-/// An unjoined client that has been idle for less is not closed to free its slot: it may be about to send a request, which closing would lose.
+/// An unjoined client that has been idle for less is not closed to free its slot: it may be about to send a request,
+/// which closing would lose.
 pub const MIN_EVICTION_IDLE: Duration = Duration::from_millis(100);
 /// Largest number of unjoined clients that are marked at a time to be closed after their next answers.
 pub const MAX_CLOSING_FOR_SLOTS: usize = 16;
@@ -80,10 +86,10 @@
 pub const RECHECKS: u32 = 8;
 /// Attempts to read in each recheck.
 pub const ATTEMPTS_PER_RECHECK: u32 = 4;
-/// After such a call every read is followed by rechecks for this long.
+/// After a read that wrongly returned `WouldBlock`, every read is followed by rechecks for this long.
 pub const READ_RECHECK_DURATION: Duration = Duration::from_secs(1);
-/// How often a timeout is postponed, each time by [`RECHECK_DELAY`], while reads fail for want of resources: for
-/// 0.5 s, which the rules allow beyond each limit.
+/// How many times a timeout is postponed, each time by [`RECHECK_DELAY`], while reads fail for want of resources: for
+/// 0.5 s, which the platform's rules allow beyond each limit.
 pub const MAX_TIMEOUT_POSTPONEMENTS: u32 = 100;
 /// Delay before a connection that the poll refused is registered again.
 pub const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(5);
@@ -134,7 +140,7 @@
 /// During shutdown, clients are refused for silence no sooner than this after SIGTERM. That is 2.5 s after they
 /// connected at the latest, and the platform requires it within 3 s.
 pub const SHUTDOWN_SILENCE_DELAY: Duration = SHUTDOWN_SERVE_DURATION.saturating_add(REQUEST_GRACE_PERIOD);
-/// How often it is checked whether such clients remain.
+/// How often it is checked during shutdown whether any client must still be waited for.
 pub const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Clients accepted from the listen queue as it closes, at most: as many as it may hold.
 pub const MAX_FINAL_ACCEPTS: usize = 1024;
--- a/crates/whinhill-node/src/node.rs
+++ b/crates/whinhill-node/src/node.rs
@@ -40,9 +40,9 @@
 pub const LISTENER: Token = Token(usize::MAX - 1);
 /// The poll token of the signal handler.
 pub const SIGNALS: Token = Token(usize::MAX - 2);
-/// The log target of every event and order of the decision module. `--log-level whinhill::trace=debug` leaves out
-/// reports, probes and acknowledgements; `=trace` includes them. Servers are identified by index; the `server`
-/// lines map indices to names.
+/// The log target of every event for the decision module and of its orders for the relay. `--log-level
+/// whinhill::trace=debug` leaves out reports, probe results, acknowledgements and timer events; `=trace` includes
+/// them. Servers are identified by index; the `server` lines map indices to names.
 pub const TRACE: &str = "whinhill::trace";
 /// Bytes read from a socket in one call.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -196,7 +196,11 @@
             names: Names::new(&config.settings),
             list_version: VersionTracker::new(stored_list.version),
             server_starts: Starts::default(),
-            max_clients: config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + max_probes).max(8),
+            max_clients: config
+                .limits
+                .sockets
+                .saturating_sub(RESERVED_DESCRIPTORS + max_probes)
+                .max(MIN_CLIENT_SLOTS),
             poll,
             listener: Some(listener),
             waiting_client: None,
--- a/crates/whinhill-node/src/pending_answers.rs
+++ b/crates/whinhill-node/src/pending_answers.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingAnswer {
     received_at: Duration,
-    /// Bytes that the connection has carried once its answer is written.
+    /// Number of bytes written on the connection in all once this answer is written.
     end_offset: u64,
 }
 
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -103,7 +103,7 @@
             return self.deadlines.set(DeadlineKind::RelayWatch(slot), self.clock.now() + RECHECK_DELAY);
         }
         let (now, mut updates) = (self.clock.now(), Vec::new());
-        let pending = pending_orders(&self.relay_calls, &self.assigner);
+        let pending = pending_work(&self.relay_calls, &self.assigner);
         let alive = self.relay_watch.on_timeout(slot, now, &mut self.names, pending, &mut updates);
         self.handle_relay_updates(updates);
         let slot = self.promote_next_relay_watch(slot);
@@ -118,7 +118,7 @@
     pub fn handle_relay_watch_bytes(&mut self, id: Id, bytes: &[u8]) {
         self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
         let (slot, now, mut updates) = (self.relay_watch_slot(id), self.clock.now(), Vec::new());
-        let pending = pending_orders(&self.relay_calls, &self.assigner);
+        let pending = pending_work(&self.relay_calls, &self.assigner);
         let result = self.relay_watch.receive(slot, now, bytes, &mut self.names, pending, &mut updates);
         self.handle_relay_updates(updates);
         let slot = self.promote_next_relay_watch(slot);
@@ -186,7 +186,7 @@
 
     /// Treats the slice as acquired now, with the line that the store holds, and orders that all its methods are
     /// admitted.
-    fn reacquire_slice(&mut self, slice: usize) {
+    fn reacquire_slice(&mut self, slice: SliceId) {
         self.relay_calls.drop_orders_of(slice);
         self.pending_events.push(Event::SliceAcquired { slice });
         if let Some(name) = self.relay_watch.line_of(slice) {
@@ -275,7 +275,8 @@
         }
     }
 
-    /// The relay stopped at an order. A server that the relay does not know is reported to the module as gone.
+    /// The relay rejected an order. If it was to set a line, the relay is assumed not to know the server, which is
+    /// reported to the module as gone.
     fn handle_partial_call(&mut self, rejected: RelayOrder) {
         warn!("the relay rejected an order: {rejected:?}");
         let RelayOrder::Line { server, on: true, .. } = rejected else { return };
@@ -319,8 +320,8 @@
     }
 }
 
-/// The orders that are pending for a slice: in calls, or in a handover of the module.
-fn pending_orders<'a>(calls: &'a CallQueue, assigner: &'a Assigner) -> impl Fn(SliceId) -> PendingWork + 'a {
+/// Returns the pending work of a slice: an order for its line, or a handover of the module.
+fn pending_work<'a>(calls: &'a CallQueue, assigner: &'a Assigner) -> impl Fn(SliceId) -> PendingWork + 'a {
     |slice| match calls.pending_work(slice) {
         PendingWork::Nothing if assigner.has_handover(slice) => PendingWork::Handover,
         pending => pending,
--- a/crates/whinhill-node/src/sockets.rs
+++ b/crates/whinhill-node/src/sockets.rs
@@ -86,8 +86,8 @@
         self.handle_write_outcome(id, result);
     }
 
-    /// Handles the result of a write. The poll reports a socket as writable only where the system truly had no
-    /// buffer space.
+    /// Handles the result of a write. After `WouldBlock` the socket is rechecked: if the call returned it wrongly,
+    /// the poll never reports the socket as writable.
     pub fn handle_write_outcome(&mut self, id: Id, result: io::Result<WriteOutcome>) {
         self.record_written_answers(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -161,8 +161,8 @@
         self.deadlines.set_if_earlier(DeadlineKind::Recheck(id), self.clock.now() + RECHECK_DELAY);
     }
 
-    /// One of the scheduled checks. A socket that keeps returning `WouldBlock` is believed after the last of them;
-    /// checks go on for as long as resources are lacking.
+    /// One of the scheduled checks. A socket that returned `WouldBlock` in all of them has nothing to read; checks go
+    /// on for as long as resources are lacking.
     pub fn recheck(&mut self, id: Id) {
         let Some(connection) = self.connections.get(id) else { return };
         let left = connection.rechecks_left.saturating_sub(1);
@@ -213,8 +213,8 @@
         reads > 0
     }
 
-    /// Called after reads. More data may be there than the last read returned, if a message is incomplete or reads
-    /// have recently missed data. Then closes a client that was sent its last answer.
+    /// Called after reads. Schedules rechecks if a message is incomplete or reads have recently missed data: more
+    /// may have arrived than the last read returned. Closes a client that was sent its last answer.
     fn after_reads(&mut self, id: Id, received: bool) {
         let Some(connection) = self.connections.get(id) else { return };
         let recheck = received && self.clock.now() < self.recheck_reads_until;
--- a/crates/whinhill-node/src/status_log.rs
+++ b/crates/whinhill-node/src/status_log.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Counters {
     /// Batches of events handed to the module.
     pub batches: u64,
-    /// Reports received.
+    /// Valid reports received.
     pub reports: u64,
     /// Reports dropped because they were invalid.
     pub reports_dropped: u64,
@@ -70,7 +70,7 @@
     pub transfer_failures: u64,
     /// Reads and writes that failed for want of memory or buffers, and were retried.
     pub transfer_shortages: u64,
-    /// Times that the poll reported data and the read found none.
+    /// Times that the poll reported data and the read found none, although nothing had been read before the event.
     pub reads_missed: u64,
     /// Failures of the poll.
     pub poll_failures: u64,
@@ -128,7 +128,8 @@
 }
 
 impl Node {
-    /// Logs the state and the counters, in lines short enough for a log that truncates long ones.
+    /// Logs the state and the counters, in lines short enough for a log that truncates long ones. Also forgets
+    /// servers that have been unlisted for long, and sets the deadline of the next call.
     pub fn log_status(&mut self) {
         self.forget_unlisted_servers();
         self.log_beliefs();
