--- a/crates/whinhill-platform/src/config.rs
+++ b/crates/whinhill-platform/src/config.rs
@@ -36,7 +36,7 @@
     pub discovery: SocketAddr,
     /// The address of the relay.
     pub relay: SocketAddr,
-    /// The seed of the assigner's random numbers.
+    /// The seed of the assigner's random numbers, hexadecimal in the file.
     pub seed: u64,
     /// Resource limits of the process.
     pub limits: Limits,
@@ -121,10 +121,12 @@
 /// The text of a scalar; `None` for other values.
 fn scalar_text(value: &Value) -> Option<String> {
     match value {
+        // Commas separate the items of a list.
         Value::String(text) => Some(text.replace([' ', ','], "_")),
         Value::Bool(flag) => Some(u8::from(*flag).to_string()),
         Value::Number(number) => Some(match number.as_f64() {
             // A count may be written as 68600.0, but the assigner reads whole numbers without a decimal point.
+            // Below 1e15 the conversion to i64 is exact.
             Some(x) if x.fract() == 0.0 && x.abs() < 1e15 => format!("{}", x as i64),
             _ => number.to_string(),
         }),
--- a/crates/whinhill-platform/src/discovery.rs
+++ b/crates/whinhill-platform/src/discovery.rs
@@ -91,7 +91,8 @@
         self.response.status().is_some()
     }
 
-    /// Handles received bytes. The lists that they complete are valid even if what follows them is not.
+    /// Handles received bytes. The lists that they complete are valid even if what follows them is not, because
+    /// discovery has published them.
     pub fn receive(&mut self, bytes: &[u8]) -> ReceivedLists {
         let (mut received, had_head) = (ReceivedLists::default(), self.has_response_head());
         let pushed = self.response.push(bytes, &mut self.body).map_err(DiscoveryError::from);
--- a/crates/whinhill-platform/src/http.rs
+++ b/crates/whinhill-platform/src/http.rs
@@ -87,7 +87,8 @@
                 State::Trailer => self.read_line(bytes, |line| {
                     Ok(if line.is_empty() { State::Done } else { State::Trailer })
                 })?,
-                // What follows a complete response is ignored, in whatever pieces the bytes arrive.
+                // What follows a complete response must not make it invalid, in whatever pieces the bytes arrive, so
+                // it is ignored.
                 State::Done => &[],
             };
         }
--- a/crates/whinhill-platform/src/lib.rs
+++ b/crates/whinhill-platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's protocols as codecs and state machines, without I/O and without a clock: their input is bytes, events
 //! and the current time, their output is bytes, events and actions. Field names and words of the protocols are used in
-//! this crate only.
+//! this crate only, except `throttled`, which whinhill-node compares with the reason of a rejected call.
 //!
 //! ```
 //! use whinhill_platform::lines::LineBuffer;
--- a/crates/whinhill-platform/src/peer.rs
+++ b/crates/whinhill-platform/src/peer.rs
@@ -37,7 +37,7 @@
     /// The peer sent something that is not a JSON object on a line.
     #[error("it sent a malformed message")]
     Malformed,
-    /// The peer sent a message that is only for collectors, or an unknown one, before it joined.
+    /// Before it joined, the peer sent a message that is only for collectors, is unknown, or lacks a field.
     #[error("it sent a report without having joined")]
     NotJoined,
     /// The peer joined for an unknown zone.
--- a/crates/whinhill-platform/src/relay/calls.rs
+++ b/crates/whinhill-platform/src/relay/calls.rs
@@ -16,17 +16,19 @@
 
 /// Maximum size of the orders in one call, as the protocol defines it.
 const MAX_CALL_BYTES: usize = 60_000;
-/// Delay after a call that the relay refused. It refuses calls until the run begins, and a call is cheap.
+/// Delay after a call that the relay refused. The relay refuses calls until the platform's run begins, and a call is
+/// cheap.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Delay after a call that could not be sent. A shorter one would flood a relay that is down with connections.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Error answers since the last good one after which the orders of the call are dropped, unless the error is
-/// `throttled`.
+/// Number of error answers since the last valid one at which the orders of the call are dropped. `throttled` counts as
+/// one, but never drops orders itself.
 const MAX_ERRORS: u32 = 5;
 /// Ack sequence numbers whose times are kept: far more than can await acknowledgement at a time.
 const MAX_TRACKED_ACKS: usize = 1024;
-/// Upper bound of the transit times that are reported. It is also reported where it is not known which of several
-/// calls an acknowledgement answers: the assigner then takes the orders to have taken effect just now.
+/// Upper bound of a transit time that a proxy reports. Where it is not known which of several calls an acknowledgement
+/// answers, the assigner is given at least this long a transit: longer than any real one, so that it takes the orders
+/// to have taken effect just now.
 const MAX_TRANSIT: Duration = Duration::from_secs(3600);
 
 /// The outcome of a call.
@@ -102,13 +104,14 @@
 }
 
 impl CallQueue {
-    /// Queues the orders of one reply. Queued orders that they supersede are removed.
+    /// Queues the orders that the assigner returned for one batch of events. Queued orders that they supersede are
+    /// removed.
     pub fn push(&mut self, now: Duration, orders: impl IntoIterator<Item = RelayOrder>) {
         for order in orders {
             let mut ordered_at = now;
             match &order {
-                // The removal of another server's line stays queued: where slices are not exclusive, nothing else
-                // removes that line.
+                // The removal of another server's line stays queued: where slices are not exclusive and may have
+                // several lines, nothing else removes that line.
                 RelayOrder::Line { slice, server, on: true } => self.queue.retain(|queued| {
                     !matches!(
                         &queued.order,
@@ -116,7 +119,10 @@
                     )
                 }),
                 RelayOrder::Level { slice, methods, .. } => self.queue.retain(|queued| {
-                    !matches!(&queued.order, RelayOrder::Level { slice: s, methods: m, .. } if s == slice && m == methods)
+                    !matches!(
+                        &queued.order,
+                        RelayOrder::Level { slice: s, methods: m, .. } if s == slice && m == methods
+                    )
                 }),
                 RelayOrder::Mark(ack_seq) => {
                     // The answer to this request also covers the earlier one, whose orders are older.
@@ -203,7 +209,7 @@
         self.queue.len()
     }
 
-    /// Handles the answer to the call in flight.
+    /// Handles the answer to the call in flight; `Unknown` if there is none.
     pub fn on_answer(&mut self, now: Duration, line: &[u8]) -> CallOutcome {
         let Some(call) = self.in_flight.take() else { return CallOutcome::Unknown };
         let text = String::from_utf8_lossy(line);
@@ -247,6 +253,7 @@
     }
 
     /// Handles a broken connection or a timeout. `fully_sent`: the last byte of the call may have reached the relay.
+    /// Returns `Applied` if no call was in flight.
     pub fn on_connection_lost(&mut self, now: Duration, fully_sent: bool) -> CallOutcome {
         match self.in_flight.take() {
             Some(call) if fully_sent => self.requeue_unknown(now, call),
@@ -278,7 +285,8 @@
             .for_each(|times| times.accepted_at = Some(now));
     }
 
-    /// Puts the orders of a call at the front of the queue.
+    /// Puts the orders of a call at the front of the queue, without those of released slices. Later orders are queued
+    /// again behind them and remove those that they supersede.
     fn requeue(&mut self, call: InFlightCall) {
         let InFlightCall { orders, released } = call;
         let later = std::mem::take(&mut self.queue);
--- a/crates/whinhill-platform/src/relay/orders.rs
+++ b/crates/whinhill-platform/src/relay/orders.rs
@@ -25,7 +25,8 @@
         methods: MethodMask,
         /// The fraction of RPCs to admit.
         share: f64,
-        /// The retry policy of proxies; 0 for no retries.
+        /// The retry policy of proxies: 0 no further try; 1 one, after proof that the first never ran; 2 one and 3 two
+        /// after any failure.
         tries: u8,
     },
     /// Requests that every proxy acknowledge the orders so far under this ack sequence number.
@@ -70,7 +71,8 @@
     }
 }
 
-/// The names of the methods in a mask, joined with `+`; `*` if there is none.
+/// The names of the methods in a mask, joined with `+`; `*`, which stands for all methods, if there is none. A mask has
+/// 32 bits.
 fn method_names(methods: MethodMask, names: &Names) -> String {
     let in_mask = (0..names.methods().min(32)).filter(|m| methods & (1 << m) != 0);
     let words: Vec<&str> = in_mask.filter_map(|m| names.method_name(m)).collect();
--- a/crates/whinhill-platform/src/relay/watch.rs
+++ b/crates/whinhill-platform/src/relay/watch.rs
@@ -60,8 +60,8 @@
         /// The store holds another line than the one we knew.
         line_differs: bool,
     },
-    /// The store holds a line besides the owner's. Where slices are not exclusive, an assigner that died between a
-    /// grant and the removal of the former line leaves both.
+    /// The store holds a line besides the owner's. Where slices are not exclusive, so that a slice may have more than
+    /// one line, an assigner that died between a grant and the removal of the former line leaves both.
     ExtraLine {
         /// The slice.
         slice: SliceId,
@@ -83,7 +83,8 @@
     /// A call that sets the line is in flight and will determine it.
     CallInFlight,
     /// A handover, or queued orders for the line. An assigner that held the slice in the meantime has undone what they
-    /// are based on: the levels were reset, and proxies may be writing again to the owner that had stopped.
+    /// are based on: the levels were reset, and proxies may be writing again to the former owner, to which they had
+    /// stopped writing.
     Handover,
 }
 
--- a/crates/whinhill-platform/src/reports.rs
+++ b/crates/whinhill-platform/src/reports.rs
@@ -7,11 +7,11 @@
 use whinhill_names::{set_figure, Names};
 
 /// Longest reporting interval or wait that a report may contain, in milliseconds. The longest deadlines are seconds,
-/// and figures that the feed cannot carry are accumulated for some seconds more.
+/// and figures that a collector cannot send at once are accumulated over some seconds more.
 const MAX_DURATION_MS: f64 = 600_000.0;
 /// Largest count that a report may contain. A fleet makes hundreds of tries a second.
 const MAX_COUNT: f64 = 1e6;
-/// Largest figure of a load report, in milliseconds or RPCs.
+/// Largest figure of a load report: milliseconds, RPCs or a fraction of the processor.
 const MAX_LOAD_FIGURE: f64 = 1e6;
 
 /// Why a report was dropped. The value is the name of the invalid field.
@@ -47,8 +47,8 @@
     Ok(Event::TryReport { endpoint, zone, tries, lost, mean_wait, interval, load })
 }
 
-/// Parses a report of the RPCs that arrived for a slice. Lost RPCs may have arrived in an earlier interval, so there may
-/// be more of them than arrived.
+/// Parses a report of the RPCs that arrived for a slice. Lost RPCs may have arrived in an earlier interval, so there
+/// may be more of them than arrived.
 pub fn parse_demand(message: &Message, names: &Names) -> Result<Event, ReportError> {
     let number = count_field(message, "range")?;
     let slice =
