--- a/crates/whinhill-platform/src/discovery/tests.rs
+++ b/crates/whinhill-platform/src/discovery/tests.rs
@@ -12,7 +12,7 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A list is valid once it was received whole, whatever follows it.
+/// A list is valid once discovery has sent it whole, whatever follows it.
 #[test]
 fn lists_before_invalid_bytes_are_accepted() {
     let good = "{\"index\":1,\"snapshot\":true,\"endpoints\":[]}\n";
--- a/crates/whinhill-platform/src/peer/tests.rs
+++ b/crates/whinhill-platform/src/peer/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn unknown_peers_are_refused_by_what_they_send() {
+fn invalid_message_of_an_unjoined_peer_is_refused_with_its_error() {
     assert_eq!(receive(b"{\"@type\":\"probe\"}\n", 3), (vec![PeerMessage::LivenessCheck], Ok(())));
     let unknown_type = b"{\"@type\":\"hello\",\"id\":1}\n".as_slice();
     let unterminated = [b"{".as_slice(), &[b' '; 5000]].concat();
--- a/crates/whinhill-platform/src/probe/tests.rs
+++ b/crates/whinhill-platform/src/probe/tests.rs
@@ -14,8 +14,8 @@
     assert_eq!(probe(b"\x16\x03").0, ProbeOutcome::Unanswered);
 }
 
-/// Resets by the network are no sign of an unhealthy server. Two of them, one in each of two probes, had made the assigner
-/// take a healthy server for unhealthy.
+/// Resets by the network are no sign of an unhealthy server. Two of them, one in each of two probes, had made the
+/// assigner take a healthy server for unhealthy.
 #[test]
 fn reset_connection_is_tried_once_more() {
     let mut exchange = ProbeExchange::default();
--- a/crates/whinhill-platform/src/relay/calls/tests.rs
+++ b/crates/whinhill-platform/src/relay/calls/tests.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn long_reply_is_split_into_calls_in_order() {
+fn many_orders_are_split_into_calls_in_order() {
     let mut calls = CallQueue::default();
     let name = "s".repeat(60);
     calls.push(MS, (0..2000).map(|slice| line(slice, &name, true)));
--- a/crates/whinhill-platform/src/relay/watch/tests.rs
+++ b/crates/whinhill-platform/src/relay/watch/tests.rs
@@ -25,6 +25,7 @@
         self.receive(&format!("OK\r\n{text}*\r\n"), piece)
     }
 
+    /// Feeds `text` in pieces of `piece` bytes. A call that sets the line of slice 9 counts as in flight throughout.
     fn receive(&mut self, text: &str, piece: usize) -> Vec<WatchUpdate> {
         let mut updates = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
@@ -173,9 +174,9 @@
     }
 }
 
-/// The snapshot contains a line, then a call of ours replaces it, and only then the snapshot ends: the older line is not
-/// another assigner's. On `roll+mass` 58 slices with a new owner were taken for newly acquired ones, and each got a
-/// second owner.
+/// The snapshot contains a line, then a call of ours replaces it, and only then the snapshot ends: the older line is
+/// not another assigner's. In a run of the scenario `roll+mass`, 58 slices with a new owner were taken for newly
+/// acquired ones, and each got a second owner.
 #[test]
 fn line_replaced_by_our_call_during_the_snapshot_does_not_differ() {
     let mut reader = Reader::new();
@@ -200,8 +201,9 @@
     );
 }
 
-/// Another assigner may have held the slice during the break. Its levels were reset then, so writes may go on at an owner
-/// that had stopped. The handover starts again, and no call is sent before the snapshot is complete.
+/// Another assigner may have held the slice during the break. Its levels were reset then, so proxies may again write to
+/// an owner to which they had stopped writing. The handover starts again, and no call is sent before the snapshot is
+/// complete.
 #[test]
 fn handover_pending_during_a_break_starts_again() {
     let mut reader = Reader::new();
--- a/crates/whinhill-platform/tests/mangled.rs
+++ b/crates/whinhill-platform/tests/mangled.rs
@@ -1,5 +1,6 @@
-//! Feeds valid streams with some bytes changed, removed or repeated to each parser. No parser may panic or grow a buffer
-//! without bound, and the result must be the same in pieces of any size. `WHINHILL_FUZZ=100000` runs that many seeds.
+//! Feeds valid streams with some bytes changed, removed or repeated to each parser. No parser may panic or grow a
+//! buffer without bound, and the result must be the same in pieces of any size. `WHINHILL_FUZZ=100000` runs that many
+//! seeds.
 
 use std::time::Duration;
 
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn call_loses_no_orders_after_a_mangled_answer() {
+fn mangled_answer_never_multiplies_the_orders_of_a_call() {
     for seed in seeds() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut calls, names) = (CallQueue::default(), names());
