--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -179,10 +179,10 @@
         }
         let accepting_hub = hub.clone();
         let limits = Limits {
-            connections_most: config.proxies_most * 2 + 16,
+            max_connections: config.proxies_most * 2 + 16,
             idle: Duration::from_secs(30),
             keep_alive: Duration::from_secs(2),
-            keep_alive_answer: Duration::from_secs(2),
+            keep_alive_timeout: Duration::from_secs(2),
             ..Limits::default()
         };
         let listener = Listener::start(&config.name, config.listen, limits, &drivers, move |call| {
@@ -324,13 +324,12 @@
     requests: Sender<OperatorCall>,
 ) -> Result<Listener, StartError> {
     let workers = Workers::new("operator", MAX_OPERATOR_REQUESTS, whinhill_transport::CALL_STACK);
-    let limits =
-        Limits { connections_most: MAX_OPERATOR_REQUESTS, message_most: 1 << 20, ..Limits::default() };
+    let limits = Limits { max_connections: MAX_OPERATOR_REQUESTS, max_message: 1 << 20, ..Limits::default() };
     let handler = move |call: ServerCall| {
         let requests = requests.clone();
         let full =
             |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many requests", Trailers::new());
-        workers.hand(call, move |call| answer_operator(call, &requests), full);
+        workers.run_with(call, move |call| answer_operator(call, &requests), full);
     };
     Listener::start(&format!("{name}-operators"), addr, limits, drivers, handler)
         .map_err(|error| StartError::Listen { addr, error })
--- a/crates/whinhill-assigner/src/config.rs
+++ b/crates/whinhill-assigner/src/config.rs
@@ -292,7 +292,7 @@
             slices: self.slices,
             methods: self.methods.iter().map(to_method).collect(),
             write_lease: ms(self.write_lease_ms),
-            hold: ms(self.hold_ms),
+            max_owner_wait: ms(self.hold_ms),
             try_factor: self.try_factor,
         }
     }
--- a/crates/whinhill-assigner/src/core/tests.rs
+++ b/crates/whinhill-assigner/src/core/tests.rs
@@ -203,7 +203,7 @@
 /// A report of one slice at one server, with tries that a level rejected.
 fn report(cluster_name: &str, server: &str, tries: u64) -> proto::LoadStatsRequest {
     let endpoint_stats = proto::UpstreamEndpointStats {
-        address: Some(whinhill_xds::mapping::address(server)),
+        address: Some(whinhill_xds::mapping::server_address(server)),
         total_issued_requests: tries,
         total_error_requests: 1,
         ..Default::default()
@@ -217,7 +217,7 @@
     let cluster = proto::ClusterStats {
         cluster_name: cluster_name.into(),
         upstream_locality_stats: vec![locality],
-        load_report_interval: Some(proto::span(Duration::from_millis(500))),
+        load_report_interval: Some(proto::to_proto_duration(Duration::from_millis(500))),
         total_dropped_requests: 2,
         ..Default::default()
     };
--- a/crates/whinhill-assigner/src/hub.rs
+++ b/crates/whinhill-assigner/src/hub.rs
@@ -11,7 +11,7 @@
 use tracing::{debug, info, warn};
 use whinhill_transport::{CallError, Code, MessageReader, MessageWriter, ServerCall, Trailers, Workers};
 use whinhill_xds::mapping::Service;
-use whinhill_xds::{proto, Cache, Heard, Kind, Reply, Request, ServerStream, Variant, LRS_PATH};
+use whinhill_xds::{proto, Cache, Kind, Reply, Request, RequestOutcome, ServerStream, Variant, LRS_PATH};
 
 use crate::channel::ProxyMessage;
 use crate::core::Input;
@@ -152,7 +152,7 @@
     pub fn accept(self: &Arc<Self>, call: ServerCall) {
         let full =
             |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many streams", Trailers::new());
-        let variant = Variant::of_path(call.path());
+        let variant = Variant::from_path(call.path());
         if variant.is_none() && call.path() != LRS_PATH {
             return call.refuse(Code::Unimplemented, "no such method", Trailers::new());
         }
@@ -173,7 +173,7 @@
                 debug!(%peer, %error, "stream ended");
             }
         };
-        self.workers.hand(call, serve, full);
+        self.workers.run_with(call, serve, full);
     }
 
     /// Serves a load report stream until it ends.
@@ -271,7 +271,7 @@
         self.send_input(Input::ProxyJoined { proxy: node.id.clone(), zone, stream: stream.id });
         let (hub, write_stream) = (self.clone(), stream.clone());
         let mut no_thread = false;
-        self.workers.hand(
+        self.workers.run_with(
             writer,
             move |writer| hub.write_responses(&write_stream, writer, &woken),
             |_| no_thread = true,
@@ -336,23 +336,23 @@
     /// Passes a request to the stream's state machine, and logs and counts the outcome.
     fn handle_request(&self, stream: &Arc<Stream>, request: &Request) -> Result<(), CallError> {
         let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
-        let (heard, ack_seqs) = {
+        let (outcome, ack_seqs) = {
             let mut state = stream.state();
-            let heard = state.hear(request, &cache);
-            (heard, state.take_acked(&cache))
+            let outcome = state.handle_request(request, &cache);
+            (outcome, state.take_acked(&cache))
         };
         drop(cache);
         let proxy = &stream.proxy;
-        match heard {
-            Ok(Heard::Nacked { kind, nonce, names, reason }) => {
+        match outcome {
+            Ok(RequestOutcome::Nacked { kind, nonce, names, reason }) => {
                 Counters::add(&self.counters.nacks, 1);
                 warn!(%proxy, ?kind, nonce, resources = names.len(), first = names.first(), %reason, "tables rejected");
             }
-            Ok(Heard::Differs { kind, theirs, ours }) => {
+            Ok(RequestOutcome::HashMismatch { kind, client_hash, server_hash }) => {
                 Counters::add(&self.counters.differing, 1);
-                warn!(%proxy, ?kind, theirs = format!("{theirs:016x}"), ours = format!("{ours:016x}"), "a proxy holds other tables than it acknowledged: told the full set");
+                warn!(%proxy, ?kind, theirs = format!("{client_hash:016x}"), ours = format!("{server_hash:016x}"), "a proxy holds other tables than it acknowledged: told the full set");
             }
-            Ok(Heard::Stale { .. }) => Counters::add(&self.counters.stale, 1),
+            Ok(RequestOutcome::Stale { .. }) => Counters::add(&self.counters.stale, 1),
             Ok(_) => {}
             Err(error) => {
                 warn!(%proxy, %error, "stream closed");
@@ -390,7 +390,7 @@
                 let (response, ack_seqs) = {
                     let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
                     let mut state = stream.state();
-                    let mut response = state.next(&cache);
+                    let mut response = state.next_reply(&cache);
                     // The write lease is renewed only while this assigner's custody lease is valid; otherwise it
                     // runs out.
                     if response.is_none() && Instant::now() >= next_heartbeat {
@@ -401,10 +401,10 @@
                             + if response.is_some() { heartbeat_interval } else { HEARTBEAT_RETRY_DELAY };
                     }
                     let ack_seqs = state.take_acked(&cache);
-                    if state.due() == 0 {
+                    if state.pending_names() == 0 {
                         stream.safety_pending.store(false, Ordering::Relaxed);
                     }
-                    if state.marks_open() == 0 {
+                    if state.pending_ack_count() == 0 {
                         all_acked_at = Instant::now();
                     }
                     (response, ack_seqs)
@@ -431,7 +431,7 @@
     fn try_send(&self, stream: &Stream, waiting_since: &mut Option<Duration>) -> Result<(), Duration> {
         let now = self.clock_base + self.start.elapsed();
         let pending = PendingSend {
-            lines: stream.state().due(),
+            lines: stream.state().pending_names(),
             safety: stream.safety_pending.load(Ordering::Relaxed),
             waiting_since: *waiting_since.get_or_insert(now),
             orders_queued: self.orders_queued.load(Ordering::Relaxed),
@@ -479,10 +479,10 @@
             }
             for &slice in &message.slices {
                 for method in 0..methods {
-                    state.changed(Kind::Endpoints, &self.cluster_names[slice * methods + method]);
+                    state.resource_changed(Kind::Endpoints, &self.cluster_names[slice * methods + method]);
                 }
             }
-            message.ack_seqs.iter().for_each(|ack_seq| state.mark(*ack_seq));
+            message.ack_seqs.iter().for_each(|ack_seq| state.request_ack(*ack_seq));
         }
         stream.wake();
     }
@@ -499,8 +499,8 @@
             {
                 let mut state = stream.state();
                 for name in names {
-                    state.changed(Kind::Cluster, name);
-                    state.changed(Kind::Endpoints, name);
+                    state.resource_changed(Kind::Cluster, name);
+                    state.resource_changed(Kind::Endpoints, name);
                 }
             }
             stream.wake();
@@ -511,7 +511,7 @@
     pub fn has_acked_all(&self, proxy: &str) -> bool {
         let Some(stream) = self.streams().get(proxy).cloned() else { return false };
         let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
-        let holds = stream.state().holds_all(&cache);
+        let holds = stream.state().is_up_to_date(&cache);
         holds
     }
 
@@ -532,7 +532,7 @@
 fn report_interval_response(interval: Duration) -> proto::LoadStatsResponse {
     proto::LoadStatsResponse {
         clusters: Vec::new(),
-        load_reporting_interval: Some(proto::span(interval)),
+        load_reporting_interval: Some(proto::to_proto_duration(interval)),
         report_endpoint_granularity: true,
         send_all_clusters: true,
     }
--- a/crates/whinhill-assigner/src/operator_client.rs
+++ b/crates/whinhill-assigner/src/operator_client.rs
@@ -26,7 +26,7 @@
 /// Sends a request to the assigner that listens for operators at `addr`. A refusal is an error.
 pub fn ask(addr: SocketAddr, request: &Ask, drivers: &Drivers) -> Result<Answer, AskError> {
     let call_error = |error| AskError::Call { addr, error };
-    let limits = Limits { message_most: MAX_ANSWER_BYTES, ..Limits::default() };
+    let limits = Limits { max_message: MAX_ANSWER_BYTES, ..Limits::default() };
     let client = Client::connect(addr, limits, drivers).map_err(call_error)?;
     let message = serde_json::to_vec(request).map_err(|error| AskError::Answer { addr, error })?;
     let (answer, _) = client.unary(ASK_PATH, &[], message.into(), CALL_TIMEOUT).map_err(call_error)?;
--- a/crates/whinhill-assigner/src/probes.rs
+++ b/crates/whinhill-assigner/src/probes.rs
@@ -13,7 +13,7 @@
 use whinhill_tables::ServerName;
 use whinhill_transport::{CallError, Client, Code, Drivers, Limits, NeverRan, CALL_STACK};
 use whinhill_xds::proto::{HealthCheckRequest, HealthCheckResponse, OrcaLoadReport};
-use whinhill_xds::{unbase64, HEALTH_PATH, ORCA_TRAILER};
+use whinhill_xds::{decode_base64, HEALTH_PATH, ORCA_TRAILER};
 
 use crate::core::Input;
 use crate::probes::queue::{ProbeQueue, Pushed};
@@ -178,7 +178,7 @@
 
     /// A connection to the server that is open, as far as is known.
     fn open_client(&self, server: &ServerName) -> Option<Client> {
-        self.clients().get(server).filter(|client| client.alive()).cloned()
+        self.clients().get(server).filter(|client| client.is_alive()).cloned()
     }
 
     /// Opens a connection to the server, and drops closed ones.
@@ -188,7 +188,7 @@
         let limits = Limits { handshake: PROBE_TIMEOUT, idle: Duration::from_secs(10), ..Limits::default() };
         let client = Client::connect(addr, limits, &self.drivers)?;
         let mut clients = self.clients();
-        clients.retain(|_, client| client.alive());
+        clients.retain(|_, client| client.is_alive());
         clients.insert(server.clone(), client.clone());
         Ok(client)
     }
@@ -199,7 +199,7 @@
     let request = HealthCheckRequest::default().encode_to_vec();
     let (answer, trailers) = client.unary(HEALTH_PATH, &[], request.into(), PROBE_TIMEOUT)?;
     let answer = HealthCheckResponse::decode(answer).map_err(|_| CallError::Malformed("a health answer"))?;
-    let orca = trailers.get(ORCA_TRAILER).and_then(|value| value.to_str().ok()).and_then(unbase64);
+    let orca = trailers.get(ORCA_TRAILER).and_then(|value| value.to_str().ok()).and_then(decode_base64);
     let orca = orca.and_then(|bytes| OrcaLoadReport::decode(&bytes[..]).ok()).unwrap_or_default();
     let mut load = LoadReport::default();
     if orca.cpu_utilization > 0.0 {
--- a/crates/whinhill-assigner/src/probes/tests.rs
+++ b/crates/whinhill-assigner/src/probes/tests.rs
@@ -41,7 +41,7 @@
 #[test]
 fn server_that_refuses_the_stream_counts_as_pushed_back() {
     let drivers = Drivers::start("probes", 1).unwrap();
-    let (_listener, server) = listen(Limits::default(), &drivers, ServerCall::refuse_unseen);
+    let (_listener, server) = listen(Limits::default(), &drivers, ServerCall::refuse_stream);
     let (inputs, results) = bounded(16);
     let prober = Prober::new(drivers, inputs);
     assert_eq!(probe(&prober, &server, &results), ProbeOutcome::PushedBack);
--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -20,11 +20,11 @@
 ) -> Report {
     let mut reported = Report { proxy, zone, interval: None, unresolved_lines: 0, lines: Vec::new() };
     for cluster in &report.cluster_stats {
-        let Some((slice, method)) = service.of_cluster_name(&cluster.cluster_name) else {
+        let Some((slice, method)) = service.parse_cluster_name(&cluster.cluster_name) else {
             reported.unresolved_lines += 1;
             continue;
         };
-        let interval = cluster.load_report_interval.as_ref().and_then(proto::read_span);
+        let interval = cluster.load_report_interval.as_ref().and_then(proto::from_proto_duration);
         reported.interval = reported.interval.max(interval);
         let mut demand = Figures { tries: cluster.total_dropped_requests, ..Figures::default() };
         for locality in &cluster.upstream_locality_stats {
--- a/crates/whinhill-assigner/src/roster.rs
+++ b/crates/whinhill-assigner/src/roster.rs
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 use whinhill::interface::ListKind;
 use whinhill_transport::{CallError, Client, Drivers, Limits};
-use whinhill_xds::mapping::{server_name, FILTER};
+use whinhill_xds::mapping::{server_name, METADATA_KEY};
 use whinhill_xds::{proto, ClientStream, Kind, Response, Update, Variant};
 
 use crate::config::RosterConfig;
@@ -233,8 +233,9 @@
                 other => other?.ok_or_else(|| CallError::Reset("the roster ended the stream".into()))?,
             };
             let response = Response::decode(client.variant(), &message).map_err(malformed)?;
-            let update =
-                client.hear(&response).map_err(|_| CallError::Malformed("an unknown resource type"))?;
+            let update = client
+                .decode_reply(&response)
+                .map_err(|_| CallError::Malformed("an unknown resource type"))?;
             let answer = match parse_eds(&update, resource) {
                 Ok(roster) => {
                     *received_list = true;
@@ -254,7 +255,7 @@
 
 /// Reads the list from a cluster load assignment: health status, zone, and from the metadata size and start time.
 fn parse_eds(update: &Update, resource: &str) -> Result<Option<RosterFile>, String> {
-    if let Some(fault) = &update.fault {
+    if let Some(fault) = &update.error {
         return Err(fault.clone());
     }
     let Some(body) = update.resources.iter().filter(|r| r.name == resource).find_map(|r| r.body.as_ref())
@@ -278,7 +279,7 @@
                 ) => RosterState::Ready,
                 _ => continue,
             };
-            let number = |name| line.metadata.as_ref().and_then(|m| m.number(FILTER, name));
+            let number = |name| line.metadata.as_ref().and_then(|m| m.number(METADATA_KEY, name));
             let size = number("size").filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0);
             let started_unix_ms = number("started_unix_ms").map(|at| at.max(0.0) as u64);
             servers.push(RosterEntry { addr, zone: zone.clone(), state, size, started_unix_ms });
--- a/crates/whinhill-cli/src/load.rs
+++ b/crates/whinhill-cli/src/load.rs
@@ -163,7 +163,7 @@
     fn client(&self, index: usize, drivers: &Drivers) -> Result<Client, CallError> {
         {
             let client = self.clients[index].lock().unwrap_or_else(PoisonError::into_inner);
-            if let Some(client) = client.as_ref().filter(|client| client.alive()) {
+            if let Some(client) = client.as_ref().filter(|client| client.is_alive()) {
                 return Ok(client.clone());
             }
         }
--- a/crates/whinhill-cli/src/proxy.rs
+++ b/crates/whinhill-cli/src/proxy.rs
@@ -156,8 +156,8 @@
         variant: if file.state_of_the_world { Variant::StateOfTheWorld } else { Variant::Incremental },
         settle: Duration::from_millis(file.service.settle_ms),
         limits: Limits {
-            message_most: file.message_most,
-            headers_most: file.headers_most,
+            max_message: file.message_most,
+            max_headers: file.headers_most,
             ..Limits::default()
         },
         seed: file.seed,
--- a/crates/whinhill-cli/src/reports/baseline.rs
+++ b/crates/whinhill-cli/src/reports/baseline.rs
@@ -80,7 +80,7 @@
     ) -> usize {
         let mut unresolved = 0;
         for cluster in &report.cluster_stats {
-            let Some((slice, method)) = service.of_cluster_name(&cluster.cluster_name) else {
+            let Some((slice, method)) = service.parse_cluster_name(&cluster.cluster_name) else {
                 unresolved += 1;
                 continue;
             };
@@ -93,7 +93,7 @@
             if issued + cluster.total_dropped_requests == 0 {
                 continue;
             }
-            let reported = cluster.load_report_interval.as_ref().and_then(proto::read_span);
+            let reported = cluster.load_report_interval.as_ref().and_then(proto::from_proto_duration);
             let interval = reported.unwrap_or(self.period).clamp(Duration::from_millis(1), self.max_interval);
             let demand = self.sums.entry(Key::Slice { slice, method }).or_default();
             demand.begin(now, interval);
--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -25,8 +25,8 @@
 use whinhill_transport::{
     Client, Code, Drivers, Limits, Listener, MessageWriter, PendingAnswer, ServerCall, Trailers, Workers,
 };
-use whinhill_xds::mapping::{address, Effect, Method, Service};
-use whinhill_xds::proto::{self, span};
+use whinhill_xds::mapping::{server_address, Effect, Method, Service};
+use whinhill_xds::proto::{self, to_proto_duration};
 use whinhill_xds::LRS_PATH;
 
 use super::baseline::BaselineIntake;
@@ -190,7 +190,7 @@
             slices: args.slices,
             methods: vec![method],
             write_lease: Duration::from_secs(2),
-            hold: Duration::from_millis(300),
+            max_owner_wait: Duration::from_millis(300),
             try_factor: 1.0,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
@@ -246,7 +246,7 @@
     /// The statistics of one slice and server in a report.
     fn cluster(&self, slice: usize, server: &str, tries: u64, interval: Duration) -> proto::ClusterStats {
         let endpoint = proto::UpstreamEndpointStats {
-            address: Some(address(server)),
+            address: Some(server_address(server)),
             total_issued_requests: tries,
             total_successful_requests: tries,
             load_metric_stats: vec![proto::EndpointLoadMetricStats {
@@ -264,7 +264,7 @@
                 total_successful_requests: tries,
                 ..Default::default()
             }],
-            load_report_interval: Some(span(interval)),
+            load_report_interval: Some(to_proto_duration(interval)),
             ..Default::default()
         }
     }
@@ -344,10 +344,10 @@
         let _ = events.send(StreamEvent::Closed(proxy));
         let _ = writer.close(Code::Ok, "", Trailers::new());
     };
-    let limits = Limits { message_most: 16 << 20, ..Limits::default() };
+    let limits = Limits { max_message: 16 << 20, ..Limits::default() };
     Listener::start("soak", ([127, 0, 0, 1], 0).into(), limits, drivers, move |call| {
         let events = events.clone();
-        workers.hand(call, move |call| serve(call, events), |call| call.refuse_unseen());
+        workers.run_with(call, move |call| serve(call, events), |call| call.refuse_stream());
     })
 }
 
@@ -360,7 +360,7 @@
     start: Instant,
 ) -> Result<(), CommandError> {
     let timeout = Duration::from_secs(10);
-    let limits = Limits { message_most: 16 << 20, ..Limits::default() };
+    let limits = Limits { max_message: 16 << 20, ..Limits::default() };
     let client = Client::connect(addr, limits, drivers).map_err(CommandError::runtime)?;
     // The pending answer is kept with its stream: dropping it cancels the call.
     let open = |proxy: usize| -> Result<(MessageWriter, PendingAnswer), CommandError> {
--- a/crates/whinhill-proxy/src/forward.rs
+++ b/crates/whinhill-proxy/src/forward.rs
@@ -10,8 +10,8 @@
 use whinhill::interface::{MethodId, SliceId};
 use whinhill_tables::Version;
 use whinhill_transport::{
-    grpc_timeout, Answering, BodyLimits, CallError, Client, Code, NeverRan, Passage, RelayError, ServerCall,
-    Trailers, Turn,
+    grpc_timeout, BodyLimits, CallError, Client, Code, NeverRan, PollScope, RelayError, RelayedAnswer,
+    RelayedCall, ServerCall, Trailers,
 };
 use whinhill_xds::proto::OrcaLoadReport;
 
@@ -114,7 +114,7 @@
     /// Answers one call; runs on a worker's thread.
     pub fn handle(&self, call: ServerCall) {
         // Everything that this RPC writes to connections is written by this thread.
-        let _turn = Turn::begin();
+        let _scope = PollScope::begin();
         let call = call;
         let grpc = call.header("content-type").is_some_and(|kind| kind.starts_with("application/grpc"));
         if !grpc {
@@ -124,22 +124,22 @@
             Ok(rpc) => rpc,
             Err((code, message)) => return call.refuse(code, &message, Trailers::new()),
         };
-        let mut passage = Passage::new(call, self.body, MAX_REPLAY_BYTES);
+        let mut relayed = RelayedCall::new(call, self.body, MAX_REPLAY_BYTES);
         let counts = &self.shared.counts;
-        let counter = match self.forward(&rpc, &mut passage) {
+        let counter = match self.forward(&rpc, &mut relayed) {
             Ok(()) => &counts.forwarded,
             Err(RpcFailure::PushedBack(refusal)) => {
                 let mut trailers = single_header(REFUSED_HEADER, refusal.name());
                 trailers.extend(single_header(PUSHBACK_HEADER, &PUSHBACK_DELAY.as_millis().to_string()));
-                passage.refuse(Code::Unavailable, &format!("pushed back: {}", refusal.name()), trailers);
+                relayed.refuse(Code::Unavailable, &format!("pushed back: {}", refusal.name()), trailers);
                 &counts.refused
             }
             Err(RpcFailure::ServerStatus(head)) => {
-                passage.answer_alone(head);
+                relayed.answer_alone(head);
                 &counts.aborted
             }
             Err(RpcFailure::Failed(code, text)) => {
-                passage.refuse(code, &text, Trailers::new());
+                relayed.refuse(code, &text, Trailers::new());
                 &counts.aborted
             }
             Err(RpcFailure::AlreadyAnswered) => &counts.aborted,
@@ -173,14 +173,14 @@
         }
         let headers = hop_headers::request_headers(&call.head.headers, &self.id)
             .map_err(|error| (Code::FailedPrecondition, error.to_string()))?;
-        let deadline = call.came + requested.min(spec.deadline);
+        let deadline = call.received_at + requested.min(spec.deadline);
         Ok(Rpc { slice, method, deadline, soft_deadline, headers })
     }
 
     /// Passes on an answer, or returns how the RPC ended without one.
-    fn forward(&self, rpc: &Rpc, passage: &mut Passage) -> Result<(), RpcFailure> {
+    fn forward(&self, rpc: &Rpc, relayed: &mut RelayedCall) -> Result<(), RpcFailure> {
         let shared = &self.shared;
-        let hold_end = Instant::now() + shared.service.hold;
+        let hold_end = Instant::now() + shared.service.max_owner_wait;
         let level = shared.random();
         let method = &shared.service.methods[rpc.method];
         let mut retry = RetryState::new(method.effect, method.writes);
@@ -213,7 +213,7 @@
                         return Err(RpcFailure::PushedBack(refusal));
                     }
                     drop(read_guard);
-                    Turn::flush();
+                    PollScope::flush();
                     shared.await_change(seen_changes, until);
                 }
                 Route::Send { server, tries, version } => {
@@ -223,7 +223,7 @@
                     let _try_guard = shared.tries_in_flight.begin(&server);
                     record(&|stats, source| stats.try_started(source, slice_method, &server));
                     let target = TryTarget { rpc, server: &server, version, read_guard: read_guard.as_ref() };
-                    let (outcome, next, result) = self.attempt(&target, passage, &mut retry);
+                    let (outcome, next, result) = self.attempt(&target, relayed, &mut retry);
                     let latency = started.elapsed();
                     let try_result = match &result {
                         Ok(()) => TryResult::Ok,
@@ -259,12 +259,12 @@
     fn attempt(
         &self,
         target: &TryTarget<'_>,
-        passage: &mut Passage,
+        relayed: &mut RelayedCall,
         retry: &mut RetryState,
     ) -> (TryOutcome, NextStep, Result<(), RpcFailure>) {
         loop {
             let mut client_used = None;
-            let (outcome, result) = match self.send(target, passage, retry, &mut client_used) {
+            let (outcome, result) = match self.send(target, relayed, retry, &mut client_used) {
                 Ok(()) => (TryOutcome::Answered, Ok(())),
                 Err(TryFailure::AnswerTruncated) => {
                     (TryOutcome::AnswerTruncated, Err(RpcFailure::AlreadyAnswered))
@@ -285,12 +285,12 @@
                 // An abandoned write may be held in a network that delivers nothing now, and start at a former owner
                 // once the network recovers. On a silent connection the cancellation would not arrive either, so the
                 // connection is closed and its undelivered data is lost.
-                client.sever();
+                client.abort();
             }
             let conditions = RetryConditions {
                 time_left: target.rpc.deadline.saturating_duration_since(Instant::now()),
-                client_waiting: !passage.cancelled(),
-                request_replayable: passage.whole(),
+                client_waiting: !relayed.cancelled(),
+                request_replayable: relayed.can_resend(),
             };
             let next = retry.next_step(outcome, conditions);
             if next != NextStep::SameServer {
@@ -303,7 +303,7 @@
     fn send(
         &self,
         target: &TryTarget<'_>,
-        passage: &mut Passage,
+        relayed: &mut RelayedCall,
         retry: &RetryState,
         client_used: &mut Option<Client>,
     ) -> Result<(), TryFailure> {
@@ -330,10 +330,10 @@
             return Err(TryFailure::WriteNotAllowed);
         }
         let until = Instant::now() + timeout;
-        let failed = |error| TryFailure::Failed(error, client.silent_for());
+        let failed = |error| TryFailure::Failed(error, client.time_since_last_read());
         let attempt = client.open(&method.path, headers, timeout).map_err(failed)?;
         let stop = || target.read_guard.is_some_and(ReadGuard::stopped);
-        let answering = passage.until_head(attempt, until, timeout, stop).map_err(|error| match error {
+        let answer = relayed.send_until_head(attempt, until, timeout, stop).map_err(|error| match error {
             RelayError::Server(error) => failed(error),
             RelayError::Stopped => TryFailure::Aborted(RpcFailure::PushedBack(Refusal::Level)),
             RelayError::ClientGone => {
@@ -350,21 +350,21 @@
         connection.answered = true;
         // A write and its answer must end within the write timeout; a read's answer may take until the RPC's deadline.
         let until = if method.writes { until } else { rpc.deadline };
-        self.relay_answer(target, passage, answering, &client, until)
+        self.relay_answer(target, relayed, answer, &client, until)
     }
 
     /// Passes on an answer whose head has arrived, unless the head contains a failure status.
     fn relay_answer(
         &self,
         target: &TryTarget<'_>,
-        passage: &mut Passage,
-        answering: Answering,
+        relayed: &mut RelayedCall,
+        answer: RelayedAnswer,
         client: &Client,
         until: Instant,
     ) -> Result<(), TryFailure> {
-        let mut head = hop_headers::response_headers(&answering.head.headers);
-        match answering.status() {
-            Err(error) => return Err(TryFailure::Failed(error, client.silent_for())),
+        let mut head = hop_headers::response_headers(&answer.head.headers);
+        match answer.status() {
+            Err(error) => return Err(TryFailure::Failed(error, client.time_since_last_read())),
             Ok(Some(code)) if code != Code::Ok => {
                 self.record_server_load(target.server, &head);
                 return Err(TryFailure::ServerStatus(head));
@@ -372,7 +372,7 @@
             // Ok without messages: the head is the whole answer.
             Ok(Some(_)) => {
                 self.record_server_load(target.server, &head);
-                passage.answer_alone(head);
+                relayed.answer_alone(head);
                 return Ok(());
             }
             Ok(None) => {}
@@ -388,7 +388,7 @@
                 trailers.insert(ANSWERED_BY, name);
             }
         };
-        match passage.answer(answering, head, until, time_left, rewrite_trailers) {
+        match relayed.relay_answer(answer, head, until, time_left, rewrite_trailers) {
             Ok((code, trailers)) => {
                 self.record_server_load(target.server, &trailers);
                 // A failure status at the end of the answer has been passed on already, so no try may follow.
@@ -405,7 +405,8 @@
     /// Records the server's load report, if the answer contains one.
     fn record_server_load(&self, server: &Arc<str>, trailers: &Trailers) {
         let Some(value) = hop_headers::load_report(trailers) else { return };
-        let report = whinhill_xds::unbase64(value).and_then(|bytes| OrcaLoadReport::decode(&bytes[..]).ok());
+        let report =
+            whinhill_xds::decode_base64(value).and_then(|bytes| OrcaLoadReport::decode(&bytes[..]).ok());
         if let Some(report) = report {
             lock(&self.shared.load_stats).set_server_load(server, &report);
         }
--- a/crates/whinhill-proxy/src/forward/tests.rs
+++ b/crates/whinhill-proxy/src/forward/tests.rs
@@ -43,12 +43,12 @@
         pool: Pool::new(limits.clone(), PoolLimits::default(), drivers.clone(), dial(&shared)),
         id: "p".into(),
         settle: s(1.0),
-        body: BodyLimits { message_most: 1 << 20, body_most: 1 << 22 },
+        body: BodyLimits { max_message: 1 << 20, max_body: 1 << 22 },
     });
     let (handler_forwarder, workers) = (forwarder.clone(), Workers::new("rpc", 64, 128 << 10));
     let handler = move |call: ServerCall| {
         let forwarder = handler_forwarder.clone();
-        workers.hand(call, move |call| forwarder.handle(call), |_| panic!("full"));
+        workers.run_with(call, move |call| forwarder.handle(call), |_| panic!("full"));
     };
     let listener = Listener::start("p", "127.0.0.1:0".parse().unwrap(), limits.clone(), &drivers, handler);
     let listener = listener.unwrap();
@@ -250,7 +250,8 @@
 
 #[test]
 fn level_becomes_0_then_a_waiting_write_is_pushed_back_at_once() {
-    let service = Arc::new(whinhill_xds::mapping::Service { hold: TIMEOUT, ..(*service()).clone() });
+    let service =
+        Arc::new(whinhill_xds::mapping::Service { max_owner_wait: TIMEOUT, ..(*service()).clone() });
     let mut shared = Shared::new(service, 2, 1, Pick::ByWeight);
     shared.start -= s(100.0);
     let shared = Arc::new(shared);
--- a/crates/whinhill-proxy/src/pool.rs
+++ b/crates/whinhill-proxy/src/pool.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use whinhill_transport::{CallError, Client, Drivers, Limits, NeverRan, Turn};
+use whinhill_transport::{CallError, Client, Drivers, Limits, NeverRan, PollScope};
 
 use crate::connections::{ConnectionId, Connections, Placement, PoolLimits};
 use crate::shared::lock;
@@ -61,7 +61,7 @@
         let pool = self.pool;
         let mut state = lock(&pool.state);
         state.connections.rpc_ended(pool.now(), &self.server, self.id, self.answered);
-        let closed = if self.client.alive() {
+        let closed = if self.client.is_alive() {
             None
         } else {
             state.connections.remove(&self.server, self.id);
@@ -103,7 +103,7 @@
     pub fn acquire(&self, server: &Arc<str>, until: Instant) -> Result<PooledConnection<'_>, CallError> {
         let no_connection = || CallError::NeverRan(NeverRan::NoConnection);
         // This may take a while, and what this thread has queued on other connections must not wait for it.
-        Turn::flush();
+        PollScope::flush();
         let mut state = lock(&self.state);
         if state.last_idle_check.elapsed() >= IDLE_CHECK_INTERVAL {
             state = self.close_idle(state);
@@ -111,7 +111,7 @@
         loop {
             match state.connections.place(self.now(), server) {
                 Placement::Use(id) => {
-                    let client = state.clients.get(&id).filter(|client| client.alive()).cloned();
+                    let client = state.clients.get(&id).filter(|client| client.is_alive()).cloned();
                     if let Some(client) = client {
                         return Ok(PooledConnection {
                             pool: self,
--- a/crates/whinhill-proxy/src/proxy.rs
+++ b/crates/whinhill-proxy/src/proxy.rs
@@ -118,7 +118,7 @@
             pool: Pool::new(config.limits.clone(), config.pool, drivers.clone(), config.dial.clone()),
             id: config.id.clone(),
             settle: config.settle,
-            body: BodyLimits { message_most: config.limits.message_most, body_most: config.body_most },
+            body: BodyLimits { max_message: config.limits.max_message, max_body: config.body_most },
         });
         let workers = workers.clone();
         let handler_forwarder = forwarder.clone();
@@ -130,7 +130,7 @@
                 trailers.insert(PUSHBACK_HEADER, http::HeaderValue::from_static("250"));
                 call.refuse(Code::Unavailable, "pushed back: the proxy is full", trailers);
             };
-            workers.hand(call, move |call| forwarder.handle(call), reject_when_full);
+            workers.run_with(call, move |call| forwarder.handle(call), reject_when_full);
         };
         let listener = Listener::start(&config.id, config.listen, config.limits.clone(), drivers, handler);
         let listener = listener.map_err(|error| ProxyError::Listen {
--- a/crates/whinhill-proxy/src/report.rs
+++ b/crates/whinhill-proxy/src/report.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use whinhill::interface::{MethodId, SliceId};
-use whinhill_xds::mapping::{address, Service};
-use whinhill_xds::proto::{self, span};
+use whinhill_xds::mapping::{server_address, Service};
+use whinhill_xds::proto::{self, to_proto_duration};
 
 use crate::table::Source;
 
@@ -229,7 +229,7 @@
                 total_issued_requests: issued,
             }],
             total_dropped_requests: slice_stats.dropped + slice_stats.hold_expired,
-            load_report_interval: Some(span(interval)),
+            load_report_interval: Some(to_proto_duration(interval)),
             dropped_requests: dropped
                 .map(|(category, count)| proto::DroppedRequests {
                     category: category.to_string(),
@@ -263,7 +263,7 @@
             total_metric_value: *value,
         });
         proto::UpstreamEndpointStats {
-            address: Some(address(server)),
+            address: Some(server_address(server)),
             total_successful_requests: stats.ok,
             total_requests_in_progress: in_flight,
             total_error_requests: stats.tries - stats.ok,
@@ -310,7 +310,7 @@
         let cluster = &report.cluster_stats[0];
         assert_eq!((issued(&report), cluster.total_dropped_requests), (4, 1));
         // The report covers both intervals.
-        assert_eq!(cluster.load_report_interval.as_ref().and_then(proto::read_span), Some(s(2.0)));
+        assert_eq!(cluster.load_report_interval.as_ref().and_then(proto::from_proto_duration), Some(s(2.0)));
         let reported = stats.take_report(0, s(3.0));
         assert!(stats.to_proto(&reported, &service()).cluster_stats.is_empty());
     }
--- a/crates/whinhill-proxy/src/streams.rs
+++ b/crates/whinhill-proxy/src/streams.rs
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 use whinhill_transport::{CallError, Client, Drivers, Limits, MessageWriter};
 use whinhill_xds::mapping::{read_assignment, Assignment};
-use whinhill_xds::proto::{self, read_span};
+use whinhill_xds::proto::{self, from_proto_duration};
 use whinhill_xds::{ClientStream, Kind, Request, Response, Update, Variant, LRS_PATH};
 
 use crate::proxy::Sabotage;
@@ -97,7 +97,7 @@
     /// Receives and applies tables until the proxy stops.
     pub fn run_table_stream(self) {
         let mut client = ClientStream::new(self.variant, self.node.clone());
-        client.tell_holdings();
+        client.send_holdings_hash();
         client.subscribe(Kind::Cluster, true, BTreeSet::new());
         let service = self.shared.service.clone();
         let listeners: BTreeSet<String> = [false, true].map(|writes| service.listener_name(writes)).into();
@@ -139,7 +139,7 @@
                 other => other?.ok_or(StreamError::Closed)?,
             };
             let response = Response::decode(self.variant, &message)?;
-            let update = client.hear(&response)?;
+            let update = client.decode_reply(&response)?;
             for request in self.handle_update(client, &update) {
                 self.send(&mut writer, &request)?;
             }
@@ -182,7 +182,7 @@
 
     /// Applies a reply completely, or returns the reason for its rejection.
     fn apply(&self, update: &Update) -> Result<(), String> {
-        if let Some(fault) = &update.fault {
+        if let Some(fault) = &update.error {
             return Err(fault.clone());
         }
         let (shared, source) = (&self.shared, self.source);
@@ -218,7 +218,7 @@
                         }
                     }
                     for name in &update.removed {
-                        if let Some((slice, method)) = service.of_cluster_name(name) {
+                        if let Some((slice, method)) = service.parse_cluster_name(name) {
                             table.withdraw(source, slice, method);
                         }
                     }
@@ -232,7 +232,7 @@
             }
             Kind::Cluster => {
                 for resource in &update.resources {
-                    if service.of_cluster_name(&resource.name).is_none() {
+                    if service.parse_cluster_name(&resource.name).is_none() {
                         let slices = service.slices;
                         return Err(format!(
                             "{}: names no slice and method of {slices} slices",
@@ -242,7 +242,7 @@
                 }
                 shared.change_table(|table| {
                     for (slice, method) in
-                        update.removed.iter().filter_map(|name| service.of_cluster_name(name))
+                        update.removed.iter().filter_map(|name| service.parse_cluster_name(name))
                     {
                         table.withdraw(source, slice, method);
                     }
@@ -295,7 +295,7 @@
                 Err(CallError::Deadline(_)) => {}
                 Ok(Some(message)) => {
                     let response = proto::LoadStatsResponse::decode(message)?;
-                    let requested = response.load_reporting_interval.as_ref().and_then(read_span);
+                    let requested = response.load_reporting_interval.as_ref().and_then(from_proto_duration);
                     interval = requested
                         .unwrap_or(interval)
                         .clamp(Duration::from_millis(50), Duration::from_secs(60));
@@ -367,7 +367,7 @@
         let all = (0..slices).flat_map(|slice| [(slice, 0), (slice, 1)]);
         let resources = all.map(resource).collect();
         let (nonce, set_version) = ("1".to_string(), "1".to_string());
-        Update { kind, nonce, set_version, resources, removed: Vec::new(), fault: None }
+        Update { kind, nonce, set_version, resources, removed: Vec::new(), error: None }
     }
 
     fn route(streams: &AssignerStreams) -> Route {
--- a/crates/whinhill-proxy/src/table/tests.rs
+++ b/crates/whinhill-proxy/src/table/tests.rs
@@ -22,7 +22,7 @@
         slices: 2,
         methods: vec![method("look", false, Effect::Idempotent), method("book", true, Effect::NonIdempotent)],
         write_lease: TTL,
-        hold: s(0.2),
+        max_owner_wait: s(0.2),
         try_factor: 1.0,
     })
 }
--- a/crates/whinhill-standins/src/clients.rs
+++ b/crates/whinhill-standins/src/clients.rs
@@ -134,7 +134,7 @@
 impl RpcSender {
     /// An open connection to a proxy.
     fn client(&self, addr: SocketAddr) -> Result<Client, CallError> {
-        if let Some(client) = lock(&self.clients).get(&addr).filter(|client| client.alive()) {
+        if let Some(client) = lock(&self.clients).get(&addr).filter(|client| client.is_alive()) {
             return Ok(client.clone());
         }
         let limits = Limits { handshake: Duration::from_secs(1), ..Limits::default() };
--- a/crates/whinhill-standins/src/play/proxies.rs
+++ b/crates/whinhill-standins/src/play/proxies.rs
@@ -130,7 +130,7 @@
             limits: Limits {
                 handshake: Duration::from_secs(1),
                 keep_alive: Duration::from_secs(1),
-                keep_alive_answer: Duration::from_secs(1),
+                keep_alive_timeout: Duration::from_secs(1),
                 // The whole fleet shares one process's file descriptors.
                 idle: Duration::from_secs(3),
                 ..Limits::default()
--- a/crates/whinhill-standins/src/roster.rs
+++ b/crates/whinhill-standins/src/roster.rs
@@ -12,8 +12,8 @@
 use prost::Message;
 use whinhill_assigner::{RosterEntry, RosterFile, RosterState};
 use whinhill_transport::{CallError, Code, Drivers, Limits, Listener, ServerCall, Trailers, Workers};
-use whinhill_xds::mapping::{address, FILTER};
-use whinhill_xds::proto::{self, metadata, number};
+use whinhill_xds::mapping::{server_address, METADATA_KEY};
+use whinhill_xds::proto::{self, metadata, number_value};
 use whinhill_xds::{Cache, Entry, Kind, Request, ServerStream, Variant};
 
 use crate::record::{Event, Recorder};
@@ -33,15 +33,15 @@
         let line = |entry: &RosterEntry| proto::LocalityLbEndpoints {
             locality: Some(proto::Locality { zone: entry.zone.clone(), ..Default::default() }),
             lb_endpoints: vec![proto::LbEndpoint {
-                endpoint: Some(proto::Endpoint { address: Some(address(&entry.addr.to_string())) }),
+                endpoint: Some(proto::Endpoint { address: Some(server_address(&entry.addr.to_string())) }),
                 health_status: match entry.state {
                     RosterState::Ready => proto::HealthStatus::Healthy as i32,
                     RosterState::Draining => proto::HealthStatus::Draining as i32,
                 },
                 metadata: Some(metadata(
-                    FILTER,
-                    std::iter::once(("size", number(entry.size)))
-                        .chain(entry.started_unix_ms.map(|at| ("started_unix_ms", number(at as f64)))),
+                    METADATA_KEY,
+                    std::iter::once(("size", number_value(entry.size)))
+                        .chain(entry.started_unix_ms.map(|at| ("started_unix_ms", number_value(at as f64)))),
                 )),
                 load_balancing_weight: None,
             }],
@@ -69,15 +69,17 @@
                     let request = Request::decode(Variant::Incremental, &message)
                         .map_err(|_| CallError::Malformed("a message that is none of the protocol's"))?;
                     let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
-                    stream.hear(&request, &cache).map_err(|error| CallError::Reset(error.to_string()))?;
+                    stream
+                        .handle_request(&request, &cache)
+                        .map_err(|error| CallError::Reset(error.to_string()))?;
                 }
             }
             let replies: Vec<Vec<u8>> = {
                 let cache = self.cache.read().unwrap_or_else(PoisonError::into_inner);
                 if std::mem::replace(&mut sent_revision, cache.revision()) != cache.revision() {
-                    stream.changed(Kind::Endpoints, &EDS_RESOURCE.into());
+                    stream.resource_changed(Kind::Endpoints, &EDS_RESOURCE.into());
                 }
-                std::iter::from_fn(|| stream.next(&cache)).map(|reply| reply.encode()).collect()
+                std::iter::from_fn(|| stream.next_reply(&cache)).map(|reply| reply.encode()).collect()
             };
             replies.iter().try_for_each(|reply| writer.send(reply, send_timeout))?;
         }
@@ -112,7 +114,8 @@
         let (eds, workers) = (self.eds.clone(), workers.clone());
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = Listener::start("roster", any, Limits::default(), drivers, move |call| {
-            if Variant::of_path(call.path()) != Some(Variant::Incremental) || eds.down.load(Ordering::Relaxed)
+            if Variant::from_path(call.path()) != Some(Variant::Incremental)
+                || eds.down.load(Ordering::Relaxed)
             {
                 return call.refuse(
                     Code::Unavailable,
--- a/crates/whinhill-standins/src/server.rs
+++ b/crates/whinhill-standins/src/server.rs
@@ -16,7 +16,7 @@
 use whinhill_transport::{Code, Drivers, Limits, Listener, ServerCall, Trailers, Workers};
 use whinhill_xds::mapping::{Effect, Service};
 use whinhill_xds::proto::{HealthCheckResponse, OrcaLoadReport};
-use whinhill_xds::{base64, HEALTH_PATH, ORCA_TRAILER};
+use whinhill_xds::{encode_base64, HEALTH_PATH, ORCA_TRAILER};
 
 use crate::record::{Event, Recorder};
 
@@ -93,10 +93,10 @@
         let drivers = Drivers::start("server", 1)?;
         let inner_cell: Arc<std::sync::OnceLock<Arc<Inner>>> = Arc::default();
         let (cell_for_calls, pool) = (inner_cell.clone(), workers.clone());
-        let limits = Limits { connections_most: 1024, idle: Duration::from_secs(30), ..Limits::default() };
+        let limits = Limits { max_connections: 1024, idle: Duration::from_secs(30), ..Limits::default() };
         let listener = Listener::start("server", config.listen, limits, &drivers, move |call| {
-            let Some(inner) = cell_for_calls.get().cloned() else { return call.refuse_unseen() };
-            pool.hand(call, move |call| inner.serve(call), ServerCall::refuse_unseen);
+            let Some(inner) = cell_for_calls.get().cloned() else { return call.refuse_stream() };
+            pool.run_with(call, move |call| inner.serve(call), ServerCall::refuse_stream);
         })?;
         let name: Arc<str> = listener.addr().to_string().into();
         let rng = ChaCha8Rng::seed_from_u64(config.seed);
@@ -155,7 +155,7 @@
         let metrics: HashMap<String, f64> = metrics.into_iter().map(|(k, v)| (k.to_string(), v)).collect();
         let report = OrcaLoadReport { cpu_utilization: cpu, named_metrics: metrics };
         let mut trailers = Trailers::new();
-        if let Ok(value) = HeaderValue::from_str(&base64(&report.encode_to_vec())) {
+        if let Ok(value) = HeaderValue::from_str(&encode_base64(&report.encode_to_vec())) {
             trailers.insert(ORCA_TRAILER, value);
         }
         trailers
--- a/crates/whinhill-transport/src/blocking.rs
+++ b/crates/whinhill-transport/src/blocking.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-use crate::polling::Turn;
+use crate::polling::PollScope;
 
 /// A waker that unparks one thread.
 struct Unpark(Thread);
@@ -32,7 +32,7 @@
                 return Some(value);
             }
             // The awaited result may depend on data that this thread has just handed over: write that first.
-            Turn::flush();
+            PollScope::flush();
             let remaining = deadline.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
                 return None;
--- a/crates/whinhill-transport/src/call.rs
+++ b/crates/whinhill-transport/src/call.rs
@@ -23,7 +23,7 @@
 use crate::connection::{micros_now, CountGuard, Handler, ListenerShutdown, ListenerSlot, SharedState};
 use crate::error::{CallError, Code, NeverRan};
 use crate::limits::Limits;
-use crate::polling::Turn;
+use crate::polling::PollScope;
 use crate::Drivers;
 
 /// The headers that end a call.
@@ -178,7 +178,7 @@
     /// Address of the client.
     pub peer: SocketAddr,
     /// When the head of the request arrived.
-    pub came: Instant,
+    pub received_at: Instant,
     pub(crate) body: RecvStream,
     pub(crate) respond: SendResponse<Bytes>,
     max_message: usize,
@@ -194,7 +194,7 @@
         count_guard: CountGuard,
     ) -> Self {
         let (head, body) = request.into_parts();
-        ServerCall { head, peer, came: Instant::now(), body, respond, max_message, count_guard }
+        ServerCall { head, peer, received_at: Instant::now(), body, respond, max_message, count_guard }
     }
 
     /// The path of the method, `/package.Service/Method`.
@@ -209,14 +209,14 @@
 
     /// Answers with a status only. Does not block.
     pub fn refuse(self, code: Code, message: &str, extra: Trailers) {
-        let _turn = Turn::begin();
-        // Moved into the scope of the `Turn`: dropping the call wakes its connection too.
+        let _scope = PollScope::begin();
+        // Moved into the scope of the `PollScope`: dropping the call wakes its connection too.
         let mut call = self;
         call.answer_alone(StatusCode::OK, status_headers(code, message, extra));
     }
 
     /// Resets the stream with REFUSED_STREAM, which proves to the client that nothing ran.
-    pub fn refuse_unseen(mut self) {
+    pub fn refuse_stream(mut self) {
         self.respond.send_reset(Reason::REFUSED_STREAM);
     }
 
@@ -261,7 +261,7 @@
 
     /// Answers a unary call: the message, status OK and `extra` trailers.
     pub fn answer(self, message: &[u8], extra: Trailers, timeout: Duration) -> Result<(), CallError> {
-        let _turn = Turn::begin();
+        let _scope = PollScope::begin();
         let (_, mut writer) = self.open()?;
         writer.send(message, timeout)?;
         writer.close(Code::Ok, "", extra)
@@ -308,8 +308,8 @@
                 }
                 let result = accepted.and_then(|(stream, peer)| {
                     let count_guard =
-                        CountGuard::try_new(&counter, limits.connections_most).ok_or_else(|| {
-                            io::Error::other(format!("over {} connections", limits.connections_most))
+                        CountGuard::try_new(&counter, limits.max_connections).ok_or_else(|| {
+                            io::Error::other(format!("over {} connections", limits.max_connections))
                         })?;
                     let slot = ListenerSlot::new(count_guard, accept_shutdown.clone());
                     drivers.add_accepted(stream, peer, limits.clone(), handler.clone(), slot)
@@ -465,7 +465,7 @@
             })?;
         let (result_sender, result_receiver) = bounded(1);
         let shared_state = SharedState::new(Arc::default());
-        let (max_message, timeout) = (limits.message_most, limits.handshake);
+        let (max_message, timeout) = (limits.max_message, limits.handshake);
         let queued = drivers.add_opened(socket, addr, limits, shared_state.clone(), result_sender);
         queued.map_err(|_| CallError::NeverRan(NeverRan::NotTried))?;
         let request = match result_receiver.recv_timeout(timeout) {
@@ -487,7 +487,7 @@
     }
 
     /// False once a call has found the connection ended.
-    pub fn alive(&self) -> bool {
+    pub fn is_alive(&self) -> bool {
         !self.dead.load(Ordering::Relaxed)
     }
 
@@ -497,14 +497,14 @@
     }
 
     /// How long nothing has arrived on the connection, for any of its calls.
-    pub fn silent_for(&self) -> Duration {
+    pub fn time_since_last_read(&self) -> Duration {
         let last = self.shared_state.last_read_at.load(Ordering::Relaxed);
         Duration::from_micros(micros_now().saturating_sub(last))
     }
 
     /// Aborts the connection, so that no data still in transit on it can arrive later. Every call on it ends
     /// without an answer.
-    pub fn sever(&self) {
+    pub fn abort(&self) {
         self.shared_state.aborted.store(true, Ordering::Relaxed);
         self.dead.store(true, Ordering::Relaxed);
     }
@@ -573,7 +573,7 @@
         message: Bytes,
         timeout: Duration,
     ) -> Result<(Bytes, Trailers), CallError> {
-        let _turn = Turn::begin();
+        let _scope = PollScope::begin();
         let deadline = Instant::now() + timeout;
         let remaining = || deadline.saturating_duration_since(Instant::now());
         let (mut writer, pending) = self.call(path, headers, timeout)?;
--- a/crates/whinhill-transport/src/connection.rs
+++ b/crates/whinhill-transport/src/connection.rs
@@ -162,12 +162,12 @@
     ) -> Self {
         let mut builder = server::Builder::new();
         builder
-            .max_concurrent_streams(limits.streams_most)
-            .max_header_list_size(limits.headers_most)
+            .max_concurrent_streams(limits.max_streams)
+            .max_header_list_size(limits.max_headers)
             .initial_window_size(limits.window)
             .initial_connection_window_size(limits.window.saturating_mul(16))
-            .max_concurrent_reset_streams(limits.streams_most as usize)
-            .max_send_buffer_size(limits.message_most + (64 << 10));
+            .max_concurrent_reset_streams(limits.max_streams as usize)
+            .max_send_buffer_size(limits.max_message + (64 << 10));
         let role = Role::Accepting(builder.handshake(socket), handler);
         Connection::new(role, peer, limits, SharedState::new(read_count), Some(slot))
     }
@@ -183,10 +183,10 @@
         let mut builder = client::Builder::new();
         builder
             .enable_push(false)
-            .max_header_list_size(limits.headers_most)
+            .max_header_list_size(limits.max_headers)
             .initial_window_size(limits.window)
             .initial_connection_window_size(limits.window.saturating_mul(16))
-            .max_send_buffer_size(limits.message_most + (64 << 10));
+            .max_send_buffer_size(limits.max_message + (64 << 10));
         shared_state.owned_by_driver.store(true, Ordering::Release);
         let opening = async move { builder.handshake(socket).await };
         Connection::new(Role::Opening(Box::pin(opening), result), peer, limits, shared_state, None)
@@ -233,7 +233,7 @@
                 Role::Serving(connection, handler) => match connection.poll_accept(cx) {
                     Poll::Pending => break,
                     Poll::Ready(Some(Ok((request, respond)))) => {
-                        let (max, count_guard) = (self.limits.message_most, self.shared_state.begin_call());
+                        let (max, count_guard) = (self.limits.max_message, self.shared_state.begin_call());
                         handler(ServerCall::new(request, respond, self.peer, max, count_guard));
                     }
                     Poll::Ready(Some(Err(error))) => return self.ended(&error.to_string()),
@@ -314,8 +314,8 @@
         if let Some(ping_sent_at) = self.ping_sent_at {
             if self.last_read > ping_sent_at {
                 self.ping_sent_at = None;
-            } else if now.duration_since(ping_sent_at) > self.limits.keep_alive_answer {
-                let within = self.limits.keep_alive_answer;
+            } else if now.duration_since(ping_sent_at) > self.limits.keep_alive_timeout {
+                let within = self.limits.keep_alive_timeout;
                 warn!(peer = %self.peer, ?within, streams, "connection closed: a ping was not answered");
                 return false;
             }
--- a/crates/whinhill-transport/src/driver.rs
+++ b/crates/whinhill-transport/src/driver.rs
@@ -19,7 +19,7 @@
 
 use crate::connection::{Connection, Handler, ListenerSlot, SharedState};
 use crate::limits::Limits;
-use crate::polling::{Pollable, Turn};
+use crate::polling::{PollScope, Pollable};
 use crate::socket::Socket;
 
 /// Stack size of a driver thread in bytes.
@@ -73,7 +73,7 @@
 impl Wake for SharedConnection {
     fn wake(self: Arc<Self>) {
         if !self.queued.swap(true, Ordering::AcqRel) {
-            if let Err(shared) = Turn::defer(self) {
+            if let Err(shared) = PollScope::defer(self) {
                 shared.driver.notify(Some(shared.key));
             }
         }
--- a/crates/whinhill-transport/src/framing.rs
+++ b/crates/whinhill-transport/src/framing.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyLimits {
     /// Maximum size of one message.
-    pub message_most: usize,
+    pub max_message: usize,
     /// Maximum size of all messages together, with their prefixes.
-    pub body_most: u64,
+    pub max_body: u64,
 }
 
 /// The parser's position in the messages of one direction.
@@ -40,10 +40,10 @@
     /// Processes the next chunk. Fails as soon as a prefix announces a message that is too long.
     pub fn check(&mut self, chunk: &[u8]) -> Result<(), CallError> {
         self.received += chunk.len() as u64;
-        if self.received > self.limits.body_most {
+        if self.received > self.limits.max_body {
             return Err(CallError::TooLarge {
                 size: self.received as usize,
-                max: self.limits.body_most as usize,
+                max: self.limits.max_body as usize,
             });
         }
         let mut remaining = chunk;
@@ -65,8 +65,8 @@
                     return Err(CallError::Malformed("no gRPC message: its first byte is neither 0 nor 1"));
                 }
                 let size = u32::from_be_bytes(size) as usize;
-                if size > self.limits.message_most {
-                    return Err(CallError::TooLarge { size, max: self.limits.message_most });
+                if size > self.limits.max_message {
+                    return Err(CallError::TooLarge { size, max: self.limits.max_message });
                 }
                 (self.prefix_received, self.message_remaining) = (0, size);
             }
@@ -87,7 +87,7 @@
 
     use super::*;
 
-    const LIMITS: BodyLimits = BodyLimits { message_most: 100, body_most: 2000 };
+    const LIMITS: BodyLimits = BodyLimits { max_message: 100, max_body: 2000 };
 
     fn message(size: usize) -> Vec<u8> {
         let mut bytes = vec![0];
--- a/crates/whinhill-transport/src/lib.rs
+++ b/crates/whinhill-transport/src/lib.rs
@@ -35,6 +35,6 @@
 pub use error::{CallError, Code, NeverRan};
 pub use framing::BodyLimits;
 pub use limits::Limits;
-pub use polling::{Turn, CALL_STACK};
-pub use relay::{Answering, Passage, RelayError, Try};
+pub use polling::{PollScope, CALL_STACK};
+pub use relay::{RelayError, RelayedAnswer, RelayedCall, Try};
 pub use workers::{AllBusy, Workers};
--- a/crates/whinhill-transport/src/limits.rs
+++ b/crates/whinhill-transport/src/limits.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum size of a received gRPC message.
-    pub message_most: usize,
+    pub max_message: usize,
     /// Maximum size of all headers of a message, as HTTP/2 counts them.
-    pub headers_most: u32,
+    pub max_headers: u32,
     /// Maximum number of streams that a peer may have open on a connection.
-    pub streams_most: u32,
+    pub max_streams: u32,
     /// Maximum number of connections of a listener; further ones are closed at once.
-    pub connections_most: usize,
+    pub max_connections: usize,
     /// Time limit from the accepted or connected socket until the peer's SETTINGS frame.
     pub handshake: Duration,
     /// A connection without streams is closed after this time.
@@ -20,7 +20,7 @@
     /// A ping is sent when nothing was read for this time.
     pub keep_alive: Duration,
     /// Time limit for the answer to a ping.
-    pub keep_alive_answer: Duration,
+    pub keep_alive_timeout: Duration,
     /// Initial flow-control window of a stream; a connection's is sixteen times as large.
     pub window: u32,
 }
@@ -28,14 +28,14 @@
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            message_most: 4 << 20,
-            headers_most: 16 << 10,
-            streams_most: 256,
-            connections_most: 4096,
+            max_message: 4 << 20,
+            max_headers: 16 << 10,
+            max_streams: 256,
+            max_connections: 4096,
             handshake: Duration::from_secs(5),
             idle: Duration::from_secs(60),
             keep_alive: Duration::from_secs(5),
-            keep_alive_answer: Duration::from_secs(3),
+            keep_alive_timeout: Duration::from_secs(3),
             window: 64 << 10,
         }
     }
--- a/crates/whinhill-transport/src/polling.rs
+++ b/crates/whinhill-transport/src/polling.rs
@@ -3,7 +3,7 @@
 //!
 //! Waking a sleeping thread costs tens of microseconds, and an RPC through a proxy would need four wake-ups for
 //! its writes alone. `h2` wakes a connection while it holds locks of its own, so the connection can't be polled
-//! inside the wake-up: within a [`Turn`] such wake-ups are recorded, and the connections are polled before the
+//! inside the wake-up: within a [`PollScope`] such wake-ups are recorded, and the connections are polled before the
 //! thread parks and at the end of the scope.
 
 use std::cell::RefCell;
@@ -31,16 +31,16 @@
 }
 
 /// A scope in which connections that this thread wakes are polled by this thread. Blocking functions of this
-/// crate flush it themselves; a caller that blocks in any other way calls [`Turn::flush`] first, since the
+/// crate flush it themselves; a caller that blocks in any other way calls [`PollScope::flush`] first, since the
 /// connections that it woke would wait as long as it does.
-pub struct Turn {
+pub struct PollScope {
     /// True for the outermost scope, which does the work of the scopes nested in it.
     is_outermost: bool,
     /// Makes the type neither `Send` nor `Sync`: a scope belongs to its thread.
     _not_send: PhantomData<*const ()>,
 }
 
-impl Turn {
+impl PollScope {
     /// Begins a scope, which ends when the returned value is dropped.
     pub fn begin() -> Self {
         let is_outermost = WOKEN.with_borrow_mut(|woken| {
@@ -48,7 +48,7 @@
             woken.get_or_insert_default();
             is_outermost
         });
-        Turn { is_outermost, _not_send: PhantomData }
+        PollScope { is_outermost, _not_send: PhantomData }
     }
 
     /// Records a connection to be polled by this thread; returns it as an error where there is no scope.
@@ -73,10 +73,10 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for PollScope {
     fn drop(&mut self) {
         if self.is_outermost {
-            Turn::flush();
+            PollScope::flush();
             let remaining = WOKEN.with_borrow_mut(Option::take);
             remaining.into_iter().flatten().for_each(Pollable::schedule_on_driver);
         }
@@ -102,7 +102,7 @@
             self.polled.fetch_add(1, Ordering::Relaxed);
             let one_less = |remaining: usize| remaining.checked_sub(1);
             if self.wakes_left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_less).is_ok() {
-                assert!(Turn::defer(self).is_ok());
+                assert!(PollScope::defer(self).is_ok());
             }
         }
 
@@ -118,27 +118,27 @@
     #[test]
     fn woken_connection_is_polled_before_the_outermost_scope_ends_and_not_recorded_outside_of_one() {
         let connection = Arc::new(TestConnection::default());
-        assert!(Turn::defer(connection.clone()).is_err());
+        assert!(PollScope::defer(connection.clone()).is_err());
         {
-            let _outer = Turn::begin();
-            drop(Turn::begin());
-            assert!(Turn::defer(connection.clone()).is_ok());
+            let _outer = PollScope::begin();
+            drop(PollScope::begin());
+            assert!(PollScope::defer(connection.clone()).is_ok());
             assert_eq!(counts(&connection), (0, 0));
-            Turn::flush();
+            PollScope::flush();
             assert_eq!(counts(&connection), (1, 0));
-            assert!(Turn::defer(connection.clone()).is_ok());
+            assert!(PollScope::defer(connection.clone()).is_ok());
         }
         assert_eq!(counts(&connection), (2, 0));
-        assert!(Turn::defer(connection.clone()).is_err());
+        assert!(PollScope::defer(connection.clone()).is_err());
     }
 
     #[test]
     fn connection_that_keeps_waking_itself_is_scheduled_on_its_driver() {
         let busy = Arc::new(TestConnection { wakes_left: 1000.into(), ..TestConnection::default() });
-        let turn = Turn::begin();
-        assert!(Turn::defer(busy.clone()).is_ok());
-        Turn::flush();
-        drop(turn);
+        let scope = PollScope::begin();
+        assert!(PollScope::defer(busy.clone()).is_ok());
+        PollScope::flush();
+        drop(scope);
         let (polled, scheduled) = counts(&busy);
         assert_eq!((polled, scheduled), (MAX_POLLS_PER_FLUSH, 1));
     }
--- a/crates/whinhill-transport/src/relay.rs
+++ b/crates/whinhill-transport/src/relay.rs
@@ -21,7 +21,7 @@
 use crate::connection::CountGuard;
 use crate::error::{CallError, Code};
 use crate::framing::{BodyLimits, Framing};
-use crate::polling::Turn;
+use crate::polling::PollScope;
 
 /// Why a call could not be relayed to its end.
 #[derive(Debug, thiserror::Error)]
@@ -111,7 +111,7 @@
 }
 
 /// An incoming call that is being relayed. It gets one answer: once one has begun, further ones are ignored.
-pub struct Passage {
+pub struct RelayedCall {
     call: ServerCall,
     buffer: RequestBuffer,
     answered: bool,
@@ -128,7 +128,7 @@
 }
 
 /// A try whose answer has begun.
-pub struct Answering {
+pub struct RelayedAnswer {
     /// The head of the answer.
     pub head: response::Parts,
     request_stream: SendStream<Bytes>,
@@ -137,7 +137,7 @@
     _count_guard: CountGuard,
 }
 
-impl Answering {
+impl RelayedAnswer {
     /// The status, where the answer consists of its head alone.
     pub fn status(&self) -> Result<Option<Code>, CallError> {
         if self.head.status != StatusCode::OK {
@@ -162,11 +162,11 @@
     }
 }
 
-impl Passage {
+impl RelayedCall {
     /// At most `max_kept` bytes of the request are kept for another try.
     pub fn new(call: ServerCall, limits: BodyLimits, max_kept: usize) -> Self {
         let buffer = RequestBuffer::new(limits, max_kept);
-        Passage { call, buffer, answered: false }
+        RelayedCall { call, buffer, answered: false }
     }
 
     /// The incoming call.
@@ -180,7 +180,7 @@
     }
 
     /// Whether the request can be sent again from its first byte.
-    pub fn whole(&self) -> bool {
+    pub fn can_resend(&self) -> bool {
         !self.buffer.discarded
     }
 
@@ -198,14 +198,14 @@
 
     /// Sends the request from its first byte until the head of the answer arrives. `stop` is evaluated whenever
     /// the thread is woken: to stop the try, change what `stop` reads and unpark the thread.
-    pub fn until_head(
+    pub fn send_until_head(
         &mut self,
         mut attempt: Try,
         deadline: Instant,
         timeout: Duration,
         stop: impl Fn() -> bool,
-    ) -> Result<Answering, RelayError> {
-        let _turn = Turn::begin();
+    ) -> Result<RelayedAnswer, RelayError> {
+        let _scope = PollScope::begin();
         self.buffer.rewind();
         let result = poll_until(deadline, |cx| {
             if stop() {
@@ -229,7 +229,13 @@
             Some(Ok(response)) => {
                 let (head, response_body) = response.into_parts();
                 let Try { request_stream, request_sent, count_guard, .. } = attempt;
-                Ok(Answering { head, request_stream, request_sent, response_body, _count_guard: count_guard })
+                Ok(RelayedAnswer {
+                    head,
+                    request_stream,
+                    request_sent,
+                    response_body,
+                    _count_guard: count_guard,
+                })
             }
         }
     }
@@ -237,15 +243,15 @@
     /// Relays the answer, and the rest of the request. `head` is the head that the client gets, and `edit_trailers` may
     /// add to the trailers. Returns the server's status and its unchanged trailers. If the answer ends early,
     /// the client is sent trailers with an error status, and the error is returned.
-    pub fn answer(
+    pub fn relay_answer(
         &mut self,
-        mut from: Answering,
+        mut from: RelayedAnswer,
         head: HeaderMap,
         deadline: Instant,
         timeout: Duration,
         edit_trailers: impl FnOnce(&mut Trailers),
     ) -> Result<(Code, Trailers), RelayError> {
-        let _turn = Turn::begin();
+        let _scope = PollScope::begin();
         self.answered = true;
         let mut response = Response::new(());
         *response.headers_mut() = head;
@@ -445,7 +451,7 @@
 
     /// Answers with a head that ends the stream.
     pub(crate) fn answer_alone(&mut self, code: StatusCode, mut headers: HeaderMap) {
-        let _turn = Turn::begin();
+        let _scope = PollScope::begin();
         if code == StatusCode::OK {
             headers.insert("content-type", HeaderValue::from_static("application/grpc"));
         }
@@ -461,7 +467,7 @@
     use super::*;
 
     fn buffer_keeping(max_kept: usize) -> RequestBuffer {
-        RequestBuffer::new(BodyLimits { message_most: 1 << 20, body_most: 1 << 20 }, max_kept)
+        RequestBuffer::new(BodyLimits { max_message: 1 << 20, max_body: 1 << 20 }, max_kept)
     }
 
     fn drain(buffer: &mut RequestBuffer, step: usize) -> Vec<u8> {
--- a/crates/whinhill-transport/src/workers.rs
+++ b/crates/whinhill-transport/src/workers.rs
@@ -74,7 +74,7 @@
     }
 
     /// Runs `job` with `value` on a thread of the pool; if none is free, calls `full` with it on this thread.
-    pub fn hand<T: Send + 'static>(
+    pub fn run_with<T: Send + 'static>(
         &self,
         value: T,
         job: impl FnOnce(T) + Send + 'static,
--- a/crates/whinhill-transport/tests/bad_peers.rs
+++ b/crates/whinhill-transport/tests/bad_peers.rs
@@ -14,9 +14,9 @@
 
 fn limits() -> Limits {
     Limits {
-        message_most: 64 << 10,
-        headers_most: 4 << 10,
-        connections_most: 4,
+        max_message: 64 << 10,
+        max_headers: 4 << 10,
+        max_connections: 4,
         handshake: Duration::from_millis(300),
         ..Limits::default()
     }
@@ -25,7 +25,7 @@
 /// Echoes a message. `/refuse` is refused with REFUSED_STREAM, `/hold` is never answered.
 fn echo(mut call: ServerCall) {
     match call.path() {
-        "/refuse" => call.refuse_unseen(),
+        "/refuse" => call.refuse_stream(),
         "/hold" => {
             thread::spawn(move || {
                 let _ = call.message(TIMEOUT);
@@ -150,7 +150,7 @@
 #[test]
 fn peers_that_write_before_they_read_do_not_deadlock() {
     let drivers = Drivers::start("test", 1).unwrap();
-    let large_limits = Limits { message_most: 1 << 20, window: 1 << 16, ..limits() };
+    let large_limits = Limits { max_message: 1 << 20, window: 1 << 16, ..limits() };
     let write_then_read = |call: ServerCall| {
         thread::spawn(move || {
             let (mut reader, mut writer) = call.open().unwrap();
@@ -187,13 +187,13 @@
     let (mut peer, _) = silent.accept().unwrap();
     // Where nothing was read yet, silence counts from the connection's creation, whatever the age of the
     // process.
-    assert!(client.silent_for() < TIMEOUT);
+    assert!(client.time_since_last_read() < TIMEOUT);
     let brief = Duration::from_millis(20);
     let answer = client.unary("/hold", &[], Bytes::from_static(b"write"), brief);
     assert!(matches!(answer, Err(CallError::Deadline(_))), "{answer:?}");
-    assert!(client.silent_for() >= brief);
-    client.sever();
-    assert!(!client.alive());
+    assert!(client.time_since_last_read() >= brief);
+    client.abort();
+    assert!(!client.is_alive());
     // An ordinary close would end gracefully, after delivering whatever was still in transit.
     peer.set_read_timeout(Some(TIMEOUT)).unwrap();
     let ended = peer.read_to_end(&mut Vec::new()).unwrap_err();
--- a/crates/whinhill-transport/tests/relay.rs
+++ b/crates/whinhill-transport/tests/relay.rs
@@ -8,7 +8,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
 use whinhill_transport::{
-    BodyLimits, CallError, Client, Code, Drivers, Limits, Listener, Passage, RelayError, ServerCall, Trailers,
+    BodyLimits, CallError, Client, Code, Drivers, Limits, Listener, RelayError, RelayedCall, ServerCall,
+    Trailers,
 };
 
 const TIMEOUT: Duration = Duration::from_secs(10);
@@ -70,25 +71,25 @@
         let (server_client, results_sender) = (server_client.clone(), results_sender.clone());
         thread::spawn(move || {
             let path = call.path().to_string();
-            let mut relayed = Passage::new(call, limits, 1 << 10);
+            let mut relayed = RelayedCall::new(call, limits, 1 << 10);
             let deadline = Instant::now() + timeout;
             let mut headers = HeaderMap::new();
             headers.insert("content-type", HeaderValue::from_static("application/grpc"));
             let attempt = server_client.open(&path, headers, timeout).unwrap();
             let result =
-                relayed.until_head(attempt, deadline, timeout, || false).and_then(
-                    |answering| match answering.status() {
-                        Ok(Some(code)) => {
-                            relayed.answer_alone(answering.head.headers);
-                            Ok(code)
-                        }
-                        Ok(None) => {
-                            let head = answering.head.headers.clone();
-                            relayed.answer(answering, head, deadline, timeout, |_| {}).map(|(code, _)| code)
-                        }
-                        Err(error) => Err(RelayError::Server(error)),
-                    },
-                );
+                relayed.send_until_head(attempt, deadline, timeout, || false).and_then(|answer| match answer
+                    .status()
+                {
+                    Ok(Some(code)) => {
+                        relayed.answer_alone(answer.head.headers);
+                        Ok(code)
+                    }
+                    Ok(None) => {
+                        let head = answer.head.headers.clone();
+                        relayed.relay_answer(answer, head, deadline, timeout, |_| {}).map(|(code, _)| code)
+                    }
+                    Err(error) => Err(RelayError::Server(error)),
+                });
             if let Err(error) = &result {
                 relayed.refuse(Code::Unavailable, &error.to_string(), Trailers::new());
             }
@@ -100,7 +101,7 @@
     (listener.unwrap(), results)
 }
 
-const GENEROUS_LIMITS: BodyLimits = BodyLimits { message_most: 1 << 20, body_most: 1 << 30 };
+const GENEROUS_LIMITS: BodyLimits = BodyLimits { max_message: 1 << 20, max_body: 1 << 30 };
 
 struct RelaySetup {
     _drivers: Drivers,
@@ -190,7 +191,7 @@
 
 #[test]
 fn message_over_a_limit_is_refused_with_its_size_and_reset_answer_ends_with_a_status() {
-    let setup = set_up(BodyLimits { message_most: 1000, body_most: 5000 }, TIMEOUT);
+    let setup = set_up(BodyLimits { max_message: 1000, max_body: 5000 }, TIMEOUT);
     let large = setup.client.unary("/echo", &[], Bytes::from(vec![1; 1001]), TIMEOUT);
     assert!(
         matches!(&large, Err(CallError::Status { message, .. }) if message.contains("1001")),
--- a/crates/whinhill-xds/src/cache.rs
+++ b/crates/whinhill-xds/src/cache.rs
@@ -114,7 +114,7 @@
             version: self.version.to_string(),
             resource: with_body.then(any),
             name: self.name.to_string(),
-            ttl: self.ttl.map(proto::span),
+            ttl: self.ttl.map(proto::to_proto_duration),
         };
         match form {
             Form::Incremental => encode_field(&resource()),
--- a/crates/whinhill-xds/src/client.rs
+++ b/crates/whinhill-xds/src/client.rs
@@ -8,7 +8,7 @@
 
 use crate::cache::{Kind, WRAPPER_URL};
 use crate::holdings::{holdings_hash, node_with_hash};
-use crate::proto::{self, read_span, Any, DeltaDiscoveryRequest, DiscoveryRequest, Node, Status};
+use crate::proto::{self, from_proto_duration, Any, DeltaDiscoveryRequest, DiscoveryRequest, Node, Status};
 use crate::{Request, Response, Variant};
 
 /// Node feature of a client that accepts wrapped resources in the state of the world, and so their TTLs.
@@ -38,7 +38,7 @@
     /// Names of resources that no longer exist.
     pub removed: Vec<String>,
     /// Why the reply can't be decoded; such an update must be rejected.
-    pub fault: Option<String>,
+    pub error: Option<String>,
 }
 
 /// Why a reply does not belong to the stream.
@@ -87,7 +87,7 @@
 
     /// Makes some ACKs carry the hash of the held resources (`holdings.rs`), so that the control plane can
     /// compare it.
-    pub fn tell_holdings(&mut self) {
+    pub fn send_holdings_hash(&mut self) {
         self.sends_hash = true;
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Decodes a reply. What can't be decoded is named in the update's `fault`.
-    pub fn hear(&mut self, response: &Response) -> Result<Update, UpdateError> {
+    pub fn decode_reply(&mut self, response: &Response) -> Result<Update, UpdateError> {
         match (response, self.variant) {
             (Response::Incremental(reply), Variant::Incremental) => {
                 let kind = kind_from_url(&reply.type_url)?;
@@ -174,7 +174,7 @@
                     set_version: reply.system_version_info.clone(),
                     resources: Vec::with_capacity(reply.resources.len()),
                     removed: reply.removed_resources.clone(),
-                    fault: None,
+                    error: None,
                 };
                 reply.resources.iter().for_each(|resource| add_resource(&mut update, resource));
                 self.retain_subscribed(&mut update);
@@ -188,7 +188,7 @@
                     set_version: reply.version_info.clone(),
                     resources: Vec::with_capacity(reply.resources.len()),
                     removed: Vec::new(),
-                    fault: None,
+                    error: None,
                 };
                 for any in &reply.resources {
                     match decode_resource(kind, any) {
@@ -198,7 +198,7 @@
                             }
                             add_resource(&mut update, &resource);
                         }
-                        Err(fault) => update.fault = Some(fault),
+                        Err(fault) => update.error = Some(fault),
                     }
                 }
                 let only_heartbeats =
@@ -304,9 +304,9 @@
 
 /// Adds a resource to an update, or the reason why it can't be decoded.
 fn add_resource(update: &mut Update, resource: &proto::Resource) {
-    let ttl = match resource.ttl.as_ref().map(read_span) {
+    let ttl = match resource.ttl.as_ref().map(from_proto_duration) {
         Some(None) => {
-            update.fault = Some(format!("{}: a TTL that is no span", resource.name));
+            update.error = Some(format!("{}: a TTL that is no span", resource.name));
             return;
         }
         Some(ttl) => ttl,
@@ -314,7 +314,7 @@
     };
     let body = match &resource.resource {
         Some(any) if any.type_url != update.kind.type_url() => {
-            update.fault = Some(format!("{}: a resource of type {:?}", resource.name, any.type_url));
+            update.error = Some(format!("{}: a resource of type {:?}", resource.name, any.type_url));
             return;
         }
         Some(any) => Some(Bytes::from(any.value.clone())),
--- a/crates/whinhill-xds/src/lib.rs
+++ b/crates/whinhill-xds/src/lib.rs
@@ -14,7 +14,7 @@
 pub use cache::{Cache, CachedResource, Entry, Kind};
 pub use client::{ClientStream, Received, Update, UpdateError};
 pub use holdings::holdings_hash;
-pub use server::{Heard, Reply, ServerStream, StreamError};
+pub use server::{Reply, RequestOutcome, ServerStream, StreamError};
 
 /// The variant of the protocol that a stream uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     }
 
     /// The variant whose RPC method has this path.
-    pub fn of_path(path: &str) -> Option<Self> {
+    pub fn from_path(path: &str) -> Option<Self> {
         [Variant::StateOfTheWorld, Variant::Incremental].into_iter().find(|variant| variant.path() == path)
     }
 }
@@ -114,14 +114,14 @@
 }
 
 /// Decodes the value of a binary header: base64, padded or not.
-pub fn unbase64(text: &str) -> Option<Vec<u8>> {
+pub fn decode_base64(text: &str) -> Option<Vec<u8>> {
     use base64::engine::general_purpose::STANDARD_NO_PAD;
     use base64::Engine;
     STANDARD_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
 
 /// Encodes the value of a binary header: base64 without padding.
-pub fn base64(bytes: &[u8]) -> String {
+pub fn encode_base64(bytes: &[u8]) -> String {
     use base64::engine::general_purpose::STANDARD_NO_PAD;
     use base64::Engine;
     STANDARD_NO_PAD.encode(bytes)
--- a/crates/whinhill-xds/src/mapping.rs
+++ b/crates/whinhill-xds/src/mapping.rs
@@ -14,10 +14,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::cache::{Entry, Kind};
-use crate::proto::{self, bool_value, metadata, number, span, string_value};
+use crate::proto::{self, bool_value, metadata, number_value, string_value, to_proto_duration};
 
 /// The metadata key of this project's fields; a client that ignores them remains correct.
-pub const FILTER: &str = "whinhill";
+pub const METADATA_KEY: &str = "whinhill";
 /// The header that selects the cluster of a route.
 pub const CLUSTER_HEADER: &str = "whinhill-cluster";
 /// The category of the drop fraction that represents a level.
@@ -70,7 +70,7 @@
     /// How long a proxy may still send writes after it last heard from the assigner that has custody.
     pub write_lease: Duration,
     /// How long an RPC may wait for a slice to get an owner.
-    pub hold: Duration,
+    pub max_owner_wait: Duration,
     /// A try that may be followed by another waits for its answer for this many soft deadlines.
     pub try_factor: f64,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Parses a cluster name into slice and method; `None` if it names none of this service.
-    pub fn of_cluster_name(&self, name: &str) -> Option<(SliceId, MethodId)> {
+    pub fn parse_cluster_name(&self, name: &str) -> Option<(SliceId, MethodId)> {
         let (slice, method) = name.strip_prefix(&self.name)?.strip_prefix('/')?.split_once('/')?;
         let method = self.methods.iter().position(|m| m.name == method)?;
         let (slice, slices) = slice.split_once('.')?;
@@ -148,18 +148,18 @@
             }),
             route: Some(proto::RouteAction {
                 cluster_header: CLUSTER_HEADER.to_string(),
-                timeout: Some(span(method.deadline)),
+                timeout: Some(to_proto_duration(method.deadline)),
                 retry_policy: None,
             }),
             metadata: Some(metadata(
-                FILTER,
+                METADATA_KEY,
                 [
-                    ("slices", number(self.slices as f64)),
+                    ("slices", number_value(self.slices as f64)),
                     ("rule", string_value("xxh3-64 modulo slices")),
                     ("effect", string_value(method.effect.name())),
                     ("writes", bool_value(method.writes)),
-                    ("soft_deadline_ms", number(method.soft_deadline.as_secs_f64() * 1e3)),
-                    ("hold_ms", number(self.hold.as_secs_f64() * 1e3)),
+                    ("soft_deadline_ms", number_value(method.soft_deadline.as_secs_f64() * 1e3)),
+                    ("hold_ms", number_value(self.max_owner_wait.as_secs_f64() * 1e3)),
                 ],
             )),
         };
@@ -181,10 +181,10 @@
             .owner
             .iter()
             .map(|owner| proto::LbEndpoint {
-                endpoint: Some(proto::Endpoint { address: Some(address(owner)) }),
+                endpoint: Some(proto::Endpoint { address: Some(server_address(owner)) }),
                 health_status: proto::HealthStatus::Healthy as i32,
                 metadata: (table.tries > 0)
-                    .then(|| metadata(FILTER, [("tries", number(table.tries.into()))])),
+                    .then(|| metadata(METADATA_KEY, [("tries", number_value(table.tries.into()))])),
                 load_balancing_weight: Some(proto::UInt32Value { value: 1 }),
             })
             .collect();
@@ -234,7 +234,7 @@
 }
 
 /// A server's name, `host:port`, as an address.
-pub fn address(server: &str) -> proto::Address {
+pub fn server_address(server: &str) -> proto::Address {
     let (host, port) = server.rsplit_once(':').unwrap_or((server, "0"));
     let port_value = port.parse().unwrap_or(0);
     let address = host.trim_matches(['[', ']']).to_string();
@@ -270,7 +270,7 @@
 ) -> Result<Assignment, MappingError> {
     let error_for = |what: String| MappingError::Resource { name: name.to_string(), what };
     let (slice, method) = service
-        .of_cluster_name(name)
+        .parse_cluster_name(name)
         .ok_or_else(|| error_for("names no slice and method of this service".into()))?;
     let version = version.parse::<Version>().map_err(|error| error_for(error.to_string()))?;
     let read = proto::ClusterLoadAssignment::decode(body).map_err(|error| error_for(error.to_string()))?;
@@ -283,7 +283,7 @@
         let server = line.endpoint.as_ref().and_then(|e| e.address.as_ref()).and_then(server_name);
         let server =
             server.ok_or_else(|| error_for("a line without an address that can be dialled".into()))?;
-        let tries_value = line.metadata.as_ref().and_then(|m| m.number(FILTER, "tries"));
+        let tries_value = line.metadata.as_ref().and_then(|m| m.number(METADATA_KEY, "tries"));
         tries = tries_value.map_or(tries, |value| value.clamp(0.0, 3.0) as u8);
         let healthy = [proto::HealthStatus::Healthy, proto::HealthStatus::Unknown].map(|s| s as i32);
         let weight = line.load_balancing_weight.map_or(1, |weight| weight.value);
--- a/crates/whinhill-xds/src/proto.rs
+++ b/crates/whinhill-xds/src/proto.rs
@@ -517,12 +517,12 @@
 }
 
 /// Converts a duration to its protobuf form. The durations used here are far below the range of that form.
-pub fn span(duration: std::time::Duration) -> Duration {
+pub fn to_proto_duration(duration: std::time::Duration) -> Duration {
     Duration { seconds: duration.as_secs() as i64, nanos: duration.subsec_nanos() as i32 }
 }
 
 /// Converts a received duration; `None` if it is negative or out of range.
-pub fn read_span(duration: &Duration) -> Option<std::time::Duration> {
+pub fn from_proto_duration(duration: &Duration) -> Option<std::time::Duration> {
     let (seconds, nanos) = (u64::try_from(duration.seconds).ok()?, u32::try_from(duration.nanos).ok()?);
     (nanos < 1_000_000_000).then(|| std::time::Duration::new(seconds, nanos))
 }
@@ -533,7 +533,7 @@
 }
 
 /// A number as a metadata value.
-pub fn number(value: f64) -> Value {
+pub fn number_value(value: f64) -> Value {
     Value { kind: Some(value::Kind::NumberValue(value)) }
 }
 
--- a/crates/whinhill-xds/src/server.rs
+++ b/crates/whinhill-xds/src/server.rs
@@ -26,7 +26,7 @@
 
 /// The effect of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum RequestOutcome {
     /// Names were subscribed or unsubscribed.
     Subscribed { kind: Kind },
     /// A reply was acknowledged; in the state of the world, earlier ones with it.
@@ -35,7 +35,7 @@
     Nacked { kind: Kind, nonce: u64, names: Vec<String>, reason: String },
     /// A reply was acknowledged, but the client's hash shows that it holds other versions than it acknowledged:
     /// all its resources are sent again.
-    Differs { kind: Kind, theirs: u64, ours: u64 },
+    HashMismatch { kind: Kind, client_hash: u64, server_hash: u64 },
     /// The nonce is not that of an unacknowledged reply.
     Stale { kind: Kind, nonce: String },
 }
@@ -110,7 +110,7 @@
     awaited: Option<BTreeSet<(Kind, u64)>>,
 }
 
-/// One stream. Pass requests and cache changes to it, and write the replies that [`ServerStream::next`] returns
+/// One stream. Pass requests and cache changes to it, and write the replies that [`ServerStream::next_reply`] returns
 /// until it returns `None`.
 #[derive(Debug)]
 pub struct ServerStream {
@@ -139,8 +139,12 @@
     }
 
     /// Handles one request.
-    pub fn hear(&mut self, request: &Request, cache: &Cache) -> Result<Heard, StreamError> {
-        let heard = match (request, self.variant) {
+    pub fn handle_request(
+        &mut self,
+        request: &Request,
+        cache: &Cache,
+    ) -> Result<RequestOutcome, StreamError> {
+        let outcome = match (request, self.variant) {
             (Request::Incremental(request), Variant::Incremental) => {
                 self.handle_incremental(request, cache)?
             }
@@ -149,17 +153,17 @@
             }
             _ => return Err(StreamError::WrongVariant),
         };
-        match (&heard, request.node().and_then(hash_from_node)) {
-            (Heard::Acked { kind, .. }, Some(theirs)) => {
-                Ok(self.compare_hash(*kind, theirs).unwrap_or(heard))
+        match (&outcome, request.node().and_then(hash_from_node)) {
+            (RequestOutcome::Acked { kind, .. }, Some(client_hash)) => {
+                Ok(self.compare_hash(*kind, client_hash).unwrap_or(outcome))
             }
-            _ => Ok(heard),
+            _ => Ok(outcome),
         }
     }
 
     /// Compares the client's hash with the hash of what it has acknowledged. While anything is in flight or was
     /// rejected, the two may legitimately differ.
-    fn compare_hash(&mut self, kind: Kind, theirs: u64) -> Option<Heard> {
+    fn compare_hash(&mut self, kind: Kind, client_hash: u64) -> Option<RequestOutcome> {
         let subscription = &mut self.subscriptions[kind.index()];
         // A name that was unsubscribed and subscribed again is pending here, while the client may still hold it
         // from before.
@@ -173,8 +177,8 @@
             .client_versions
             .iter()
             .filter_map(|(name, (version, _))| Some((&**name, version.as_deref()?)));
-        let ours = holdings_hash(held);
-        if ours == theirs {
+        let server_hash = holdings_hash(held);
+        if server_hash == client_hash {
             return None;
         }
         // What the client holds is unknown: send everything that it may hold or is subscribed to, whether it
@@ -184,11 +188,11 @@
         subscription.client_versions =
             names.iter().map(|name| (name.clone(), (Some("".into()), 0))).collect();
         subscription.pending.extend(names);
-        Some(Heard::Differs { kind, theirs, ours })
+        Some(RequestOutcome::HashMismatch { kind, client_hash, server_hash })
     }
 
     /// Reports that the cache has a new version of a name, or that the name was removed.
-    pub fn changed(&mut self, kind: Kind, name: &Arc<str>) {
+    pub fn resource_changed(&mut self, kind: Kind, name: &Arc<str>) {
         let subscription = &mut self.subscriptions[kind.index()];
         if subscription.requested && subscription.is_subscribed_to(name) {
             subscription.pending.insert(name.clone());
@@ -197,7 +201,7 @@
 
     /// Requests an acknowledgement: [`ServerStream::take_acked`] returns `ack_seq` once the client has
     /// acknowledged everything that is pending now.
-    pub fn mark(&mut self, ack_seq: u16) {
+    pub fn request_ack(&mut self, ack_seq: u16) {
         self.pending_acks.push(PendingAck { ack_seq, awaited: None });
     }
 
@@ -226,17 +230,17 @@
     }
 
     /// Number of names whose state is still to be sent.
-    pub fn due(&self) -> usize {
+    pub fn pending_names(&self) -> usize {
         self.subscriptions.iter().map(|subscription| subscription.pending.len()).sum()
     }
 
     /// Number of requested acknowledgements that are not complete yet.
-    pub fn marks_open(&self) -> usize {
+    pub fn pending_ack_count(&self) -> usize {
         self.pending_acks.len()
     }
 
     /// Whether the client has acknowledged everything that it is subscribed to.
-    pub fn holds_all(&mut self, cache: &Cache) -> bool {
+    pub fn is_up_to_date(&mut self, cache: &Cache) -> bool {
         self.everything_sent(cache)
             && self.subscriptions.iter().all(|subscription| subscription.unacked.is_empty())
     }
@@ -264,13 +268,13 @@
         &mut self,
         request: &DeltaDiscoveryRequest,
         cache: &Cache,
-    ) -> Result<Heard, StreamError> {
+    ) -> Result<RequestOutcome, StreamError> {
         let kind = kind_from_url(&request.type_url)?;
         let first = !self.subscriptions[kind.index()].requested;
-        let mut heard = Heard::Subscribed { kind };
+        let mut outcome = RequestOutcome::Subscribed { kind };
         if !request.response_nonce.is_empty() {
             let reason = request.error_detail.as_ref().map(|status| status.message.clone());
-            heard = self.handle_answer(kind, &request.response_nonce, reason, false)?;
+            outcome = self.handle_answer(kind, &request.response_nonce, reason, false)?;
         }
         self.complete_at = None;
         let subscription = &mut self.subscriptions[kind.index()];
@@ -310,19 +314,19 @@
             self.collect_pending(kind, cache);
         }
         self.check_name_count(kind, cache)?;
-        Ok(heard)
+        Ok(outcome)
     }
 
     fn handle_state_of_the_world(
         &mut self,
         request: &DiscoveryRequest,
         cache: &Cache,
-    ) -> Result<Heard, StreamError> {
+    ) -> Result<RequestOutcome, StreamError> {
         let kind = kind_from_url(&request.type_url)?;
-        let mut heard = Heard::Subscribed { kind };
+        let mut outcome = RequestOutcome::Subscribed { kind };
         if !request.response_nonce.is_empty() {
             let reason = request.error_detail.as_ref().map(|status| status.message.clone());
-            heard = self.handle_answer(kind, &request.response_nonce, reason, true)?;
+            outcome = self.handle_answer(kind, &request.response_nonce, reason, true)?;
         }
         // The names apply whatever nonce the request has: requests arrive in order, and a name unsubscribed and
         // subscribed again between two replies must be sent again.
@@ -345,7 +349,7 @@
             self.collect_pending(kind, cache);
         }
         self.check_name_count(kind, cache)?;
-        Ok(heard)
+        Ok(outcome)
     }
 
     /// Adds every name of a type whose state the client must still be sent to the pending names.
@@ -382,18 +386,18 @@
         nonce: &str,
         rejected: Option<String>,
         with_earlier: bool,
-    ) -> Result<Heard, StreamError> {
+    ) -> Result<RequestOutcome, StreamError> {
         let subscription = &mut self.subscriptions[kind.index()];
         let index = nonce
             .parse()
             .ok()
             .and_then(|n: u64| subscription.unacked.iter().position(|sent| sent.nonce == n));
-        let Some(index) = index else { return Ok(Heard::Stale { kind, nonce: nonce.to_string() }) };
+        let Some(index) = index else { return Ok(RequestOutcome::Stale { kind, nonce: nonce.to_string() }) };
         let earlier: Vec<UnackedReply> =
             if with_earlier { subscription.unacked.drain(..index).collect() } else { Vec::new() };
         let index = if with_earlier { 0 } else { index };
         let Some(sent) = subscription.unacked.remove(index) else {
-            return Ok(Heard::Stale { kind, nonce: nonce.to_string() });
+            return Ok(RequestOutcome::Stale { kind, nonce: nonce.to_string() });
         };
         let Some(reason) = rejected else {
             let nonce = sent.nonce;
@@ -407,7 +411,7 @@
                     }
                 }
             }
-            return Ok(Heard::Acked { kind, nonce });
+            return Ok(RequestOutcome::Acked { kind, nonce });
         };
         // A requested acknowledgement that awaited this reply must await the resources that are sent again: a
         // NACK is not an acknowledgement.
@@ -431,12 +435,12 @@
             }
             names.push(name.to_string());
         }
-        Ok(Heard::Nacked { kind, nonce: sent.nonce, names, reason })
+        Ok(RequestOutcome::Nacked { kind, nonce: sent.nonce, names, reason })
     }
 
     /// The next reply to write, in make-before-break order; `None` when nothing is pending or too many replies
     /// are unacknowledged.
-    pub fn next(&mut self, cache: &Cache) -> Option<Reply> {
+    pub fn next_reply(&mut self, cache: &Cache) -> Option<Reply> {
         // Clusters first, except removed ones, which come last.
         let clusters = self.reply_of_kind(Kind::Cluster, cache, false);
         clusters
--- a/crates/whinhill-xds/tests/field_numbers.rs
+++ b/crates/whinhill-xds/tests/field_numbers.rs
@@ -47,7 +47,10 @@
 }
 
 fn whinhill_metadata() -> Option<proto::Metadata> {
-    Some(proto::metadata("whinhill", [("tries", proto::number(2.0)), ("writes", proto::bool_value(true))]))
+    Some(proto::metadata(
+        "whinhill",
+        [("tries", proto::number_value(2.0)), ("writes", proto::bool_value(true))],
+    ))
 }
 
 #[test]
--- a/crates/whinhill-xds/tests/malformed_messages.rs
+++ b/crates/whinhill-xds/tests/malformed_messages.rs
@@ -23,7 +23,7 @@
         slices: 4,
         methods: vec![method("look", false), method("book", true)],
         write_lease: Duration::from_secs(2),
-        hold: Duration::from_millis(200),
+        max_owner_wait: Duration::from_millis(200),
         try_factor: 1.0,
     }
 }
@@ -111,7 +111,7 @@
                 .encode_to_vec(),
             };
             let Ok(request) = Request::decode(variant, &corrupt(&mut rng, bytes)) else { continue };
-            match stream.hear(&request, &cache) {
+            match stream.handle_request(&request, &cache) {
                 Ok(_) => accepted += 1,
                 Err(_) => {
                     rejected += 1;
@@ -119,10 +119,10 @@
                 }
             }
             if rng.random_bool(0.3) {
-                stream.mark(rng.random());
+                stream.request_ack(rng.random());
             }
             // The replies come to an end, whatever was requested.
-            assert!((0..40).any(|_| stream.next(&cache).is_none()), "seed {seed}");
+            assert!((0..40).any(|_| stream.next_reply(&cache).is_none()), "seed {seed}");
             stream.take_acked(&cache);
             stream.heartbeat(Kind::Route, "t/writes", &cache);
         }
@@ -143,13 +143,13 @@
         client.subscribe(Kind::Endpoints, true, BTreeSet::new());
         client.subscribe(Kind::Route, true, BTreeSet::new());
         for request in client.open() {
-            server.hear(&request, &cache).unwrap();
+            server.handle_request(&request, &cache).unwrap();
         }
-        while let Some(response) = server.next(&cache) {
+        while let Some(response) = server.next_reply(&cache) {
             let Ok(response) = Response::decode(variant, &corrupt(&mut rng, response.encode())) else {
                 continue;
             };
-            let Ok(update) = client.hear(&response) else { continue };
+            let Ok(update) = client.decode_reply(&response) else { continue };
             for resource in update.resources.iter() {
                 let body = resource.body.as_deref().unwrap_or_default();
                 let _ = read_assignment(&service, &resource.name, &resource.version, body);
--- a/crates/whinhill-xds/tests/schedules.rs
+++ b/crates/whinhill-xds/tests/schedules.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use whinhill_xds::proto::Node;
 use whinhill_xds::{
-    Cache, ClientStream, Entry, Heard, Kind, Reply, Request, Response, ServerStream, Update, Variant,
+    Cache, ClientStream, Entry, Kind, Reply, Request, RequestOutcome, Response, ServerStream, Update, Variant,
 };
 
 type HeldVersions = BTreeMap<(Kind, String), String>;
@@ -43,7 +43,7 @@
     fn new(variant: Variant, seed: u64) -> Self {
         let node = Node { id: "p1".into(), ..Default::default() };
         let mut client = ClientStream::new(variant, node);
-        client.tell_holdings();
+        client.send_holdings_hash();
         client.subscribe(Kind::Cluster, true, BTreeSet::new());
         client.subscribe(Kind::Route, false, ["gate".to_string()].into());
         let mut sim = Simulation {
@@ -72,7 +72,7 @@
 
     fn notify_server(&mut self, kind: Kind, name: &str) {
         if let Some(server) = &mut self.server {
-            server.changed(kind, &name.into());
+            server.resource_changed(kind, &name.into());
         }
     }
 
@@ -125,7 +125,7 @@
     fn request_ack(&mut self) {
         let Some(server) = &mut self.server else { return };
         self.last_ack_seq += 1;
-        server.mark(self.last_ack_seq);
+        server.request_ack(self.last_ack_seq);
         let version = |name: &str| self.cache.get(Kind::Endpoints, name).unwrap().version.parse().unwrap();
         let state = self.cache.names(Kind::Endpoints).map(|name| (name.to_string(), version(name)));
         self.versions_at_request.insert(self.last_ack_seq, state.collect());
@@ -135,7 +135,7 @@
     fn send_replies(&mut self) {
         let Some(server) = &mut self.server else { return };
         let decoded = |reply: Reply| Response::decode(self.variant, &reply.encode()).unwrap();
-        self.responses.extend(server.next(&self.cache).map(decoded));
+        self.responses.extend(server.next_reply(&self.cache).map(decoded));
         self.check_acks();
     }
 
@@ -149,14 +149,17 @@
 
     fn deliver_request(&mut self) {
         let (Some(server), Some(request)) = (&mut self.server, self.requests.pop_front()) else { return };
-        match server.hear(&request, &self.cache).unwrap() {
-            Heard::Nacked { .. } => self.rejections += 1,
-            Heard::Differs { theirs, ours, .. } => {
-                assert!(self.forgot_resource, "the client holds {theirs:x}, {ours:x} was acknowledged");
+        match server.handle_request(&request, &self.cache).unwrap() {
+            RequestOutcome::Nacked { .. } => self.rejections += 1,
+            RequestOutcome::HashMismatch { client_hash, server_hash, .. } => {
+                assert!(
+                    self.forgot_resource,
+                    "the client holds {client_hash:x}, {server_hash:x} was acknowledged"
+                );
                 self.differences_found += 1;
             }
             // In the state of the world a request that only changes the names repeats an older nonce.
-            Heard::Stale { nonce, .. } if self.variant == Variant::Incremental => {
+            RequestOutcome::Stale { nonce, .. } if self.variant == Variant::Incremental => {
                 panic!("nonce {nonce} is stale")
             }
             _ => {}
@@ -185,8 +188,8 @@
         let Some(response) = self.responses.pop_front() else { return };
         let bytes = response.encode();
         let response = Response::decode(self.variant, &bytes).unwrap();
-        let update = self.client.hear(&response).unwrap();
-        assert_eq!(update.fault, None);
+        let update = self.client.decode_reply(&response).unwrap();
+        assert_eq!(update.error, None);
         // The same version is rejected at most once: a second time would end the stream, which another test
         // checks.
         let versions = |u: &Update| -> Vec<(Kind, String, String)> {
@@ -243,7 +246,7 @@
         }
         assert_eq!(self.held, expected);
         assert_eq!(self.server.as_ref().unwrap().unacked_replies(), 0);
-        assert_eq!(self.server.as_ref().unwrap().marks_open(), 0);
+        assert_eq!(self.server.as_ref().unwrap().pending_ack_count(), 0);
     }
 }
 
@@ -294,10 +297,10 @@
     sim.send_replies();
     for round in 0..2 {
         let response = sim.responses.pop_front().unwrap();
-        let update = sim.client.hear(&response).unwrap();
+        let update = sim.client.decode_reply(&response).unwrap();
         let nack = sim.client.reject(&update, "no");
-        let heard = sim.server.as_mut().unwrap().hear(&nack, &sim.cache);
-        assert_eq!(heard.is_err(), round == 1, "{heard:?}");
+        let outcome = sim.server.as_mut().unwrap().handle_request(&nack, &sim.cache);
+        assert_eq!(outcome.is_err(), round == 1, "{outcome:?}");
         sim.send_replies();
     }
 }
@@ -311,12 +314,15 @@
     let first_response = sim.responses.pop_front().unwrap();
     sim.change(7);
     sim.send_replies();
-    let update = sim.client.hear(&first_response).unwrap();
+    let update = sim.client.decode_reply(&first_response).unwrap();
     let late_ack = sim.client.accept(&update);
     let server = sim.server.as_mut().unwrap();
-    assert!(matches!(server.hear(&late_ack, &sim.cache), Ok(Heard::Acked { kind: Kind::Cluster, .. })));
+    assert!(matches!(
+        server.handle_request(&late_ack, &sim.cache),
+        Ok(RequestOutcome::Acked { kind: Kind::Cluster, .. })
+    ));
     assert!(server.unacked_replies() > 0);
-    assert!(matches!(server.hear(&late_ack, &sim.cache), Ok(Heard::Stale { .. })));
+    assert!(matches!(server.handle_request(&late_ack, &sim.cache), Ok(RequestOutcome::Stale { .. })));
 }
 
 #[test]
