--- a/crates/whinhill-assigner/src/acked_versions.rs
+++ b/crates/whinhill-assigner/src/acked_versions.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::operator_api::ProxyLine;
+use crate::operator_api::ProxyStatus;
 
 /// How often streams are checked.
 pub const ACK_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -24,8 +24,8 @@
     }
 
     /// One line for each proxy, for operators.
-    pub fn lines(&self, now: Duration, current: u64) -> Vec<ProxyLine> {
-        let line = |(proxy, (acked, at)): (&String, &(u64, Duration))| ProxyLine {
+    pub fn lines(&self, now: Duration, current: u64) -> Vec<ProxyStatus> {
+        let line = |(proxy, (acked, at)): (&String, &(u64, Duration))| ProxyStatus {
             proxy: proxy.clone(),
             acked: (*acked > 0).then_some(*acked),
             behind: current.saturating_sub(*acked),
--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -23,7 +23,7 @@
 use crate::acked_versions::{AckedVersions, ACK_CHECK_INTERVAL};
 use crate::atomic_file::write_atomically;
 use crate::channel::Channel;
-use crate::config::{AssignerConfig, Fault};
+use crate::config::{AssignerConfig, ConfigError};
 use crate::core::{Core, Effects, Input};
 use crate::custody_thread::{CustodyLease, CustodyThread};
 use crate::history_file::HistoryFile;
@@ -32,7 +32,7 @@
 use crate::hub::{Hub, HubConfig};
 use crate::last_list::LastList;
 use crate::name_index::CLOCK_BASE;
-use crate::operator_api::{Answer, Ask, ASK_PATH};
+use crate::operator_api::{OperatorRequest, OperatorResponse, OPERATOR_METHOD_PATH};
 use crate::probes::Prober;
 use crate::retry::Retry;
 use crate::roster::RosterFeed;
@@ -60,8 +60,8 @@
 /// Why an assigner could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    #[error("the configuration has {} faults, the first: {}", .0.len(), .0.first().map(Fault::to_string).unwrap_or_default())]
-    Config(Vec<Fault>),
+    #[error("the configuration has {} faults, the first: {}", .0.len(), .0.first().map(ConfigError::to_string).unwrap_or_default())]
+    Config(Vec<ConfigError>),
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("cannot listen on {addr}: {error}")]
@@ -74,9 +74,9 @@
 
 /// Writes the address of the operators' listener to a file, for `whinhill table` and similar commands.
 fn retry_writing_operators_addr(path: &Path, addr: SocketAddr, stop: &AtomicBool) {
-    let retry = Retry { within: Duration::MAX, stop };
+    let retry = Retry { duration: Duration::MAX, stop };
     let write = || write_atomically(path, &addr.to_string());
-    if let Err(error) = retry.until_done("writing the operators' address", is_temporary_file_error, write) {
+    if let Err(error) = retry.call("writing the operators' address", is_temporary_file_error, write) {
         warn!(path = %path.display(), %error, "the operators' address could not be written");
     }
 }
@@ -108,7 +108,7 @@
         config: AssignerConfig,
         stop_requested: &AtomicBool,
     ) -> Result<Self, StartError> {
-        let faults = config.check();
+        let faults = config.validate();
         if !faults.is_empty() {
             return Err(StartError::Config(faults));
         }
@@ -130,9 +130,9 @@
         if let Some(dir) = &config.state_dir {
             std::fs::create_dir_all(dir)?;
             let path = dir.join("history.redb");
-            let limits = config.history.limits();
+            let limits = config.history.to_limits();
             let history_error = |error| StartError::History { path: path.display().to_string(), error };
-            let retry = Retry { within: DISK_RETRY_DURATION, stop: stop_requested };
+            let retry = Retry { duration: DISK_RETRY_DURATION, stop: stop_requested };
             let (file, history, rollbacks) =
                 HistoryFile::open_with_retry(&path, limits, &retry).map_err(history_error)?;
             info!(
@@ -314,7 +314,7 @@
 }
 
 /// An operator's request and the channel for its answer.
-type OperatorCall = (Ask, Sender<Answer>);
+type OperatorCall = (OperatorRequest, Sender<OperatorResponse>);
 
 /// Listens for operators' requests.
 fn listen_to_operators(
@@ -337,12 +337,13 @@
 
 /// Passes an operator's request to the decision thread and returns its answer.
 fn answer_operator(mut call: ServerCall, requests: &Sender<OperatorCall>) {
-    if call.path() != ASK_PATH {
+    if call.path() != OPERATOR_METHOD_PATH {
         return call.refuse(Code::Unimplemented, "no such method", Trailers::new());
     }
     let message = call.message(OPERATOR_TIMEOUT).map_err(|error| error.to_string());
     let decoded = message.and_then(|message| {
-        serde_json::from_slice::<Ask>(&message).map_err(|error| format!("not a valid request: {error}"))
+        serde_json::from_slice::<OperatorRequest>(&message)
+            .map_err(|error| format!("not a valid request: {error}"))
     });
     let request = match decoded {
         Ok(request) => request,
@@ -375,9 +376,9 @@
     persisted_seq: u64,
     requests: Receiver<OperatorCall>,
     /// Where the answers go, by request id.
-    answer_senders: BTreeMap<u64, Sender<Answer>>,
+    answer_senders: BTreeMap<u64, Sender<OperatorResponse>>,
     /// Request id, number of the history update that must be persisted first, and answer.
-    pending_answers: Vec<(u64, u64, Answer)>,
+    pending_answers: Vec<(u64, u64, OperatorResponse)>,
     acked_versions: AckedVersions,
     last_request_id: u64,
     next_ack_check: Duration,
@@ -488,11 +489,11 @@
     /// Takes operators' requests; one for the proxies is answered here, the others become inputs.
     fn take_requests(&mut self, inputs: &mut Vec<Input>) {
         for (request, answer_sender) in self.requests.try_iter().take(MAX_OPERATOR_REQUESTS) {
-            if request == Ask::Proxies {
+            if request == OperatorRequest::Proxies {
                 let (current, now) = (self.current_version(), self.now());
                 let proxies = self.acked_versions.lines(now, current);
                 // The operator may have disconnected.
-                let _ = answer_sender.try_send(Answer::Proxies { current, proxies });
+                let _ = answer_sender.try_send(OperatorResponse::Proxies { current, proxies });
                 continue;
             }
             self.last_request_id += 1;
@@ -534,7 +535,7 @@
         }
         self.next_ack_check = now + ACK_CHECK_INTERVAL;
         // Tables that are withheld for the history file have been sent to no proxy.
-        let all_published = self.core.history_recorder().held_back() == 0;
+        let all_published = self.core.history_recorder().withheld_count() == 0;
         let (proxy_names, channel, hub) = (&self.proxy_names, &self.channel, &self.hub);
         let acked_all = self.core.joined_streams().keys().filter_map(|id| {
             let name = proxy_names.get(id)?;
--- a/crates/whinhill-assigner/src/config.rs
+++ b/crates/whinhill-assigner/src/config.rs
@@ -13,16 +13,16 @@
 
 /// An error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The path of the setting.
     pub path: String,
     /// What is wrong with it.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.what)
+        write!(f, "{}: {}", self.path, self.message)
     }
 }
 
@@ -110,7 +110,7 @@
 
 impl HistoryConfig {
     /// The limits in the form that the history takes.
-    pub fn limits(&self) -> whinhill_tables::Limits {
+    pub fn to_limits(&self) -> whinhill_tables::Limits {
         whinhill_tables::Limits {
             entries: self.versions,
             bytes: self.bytes,
@@ -274,7 +274,7 @@
 
 impl ServiceConfig {
     /// The service in the form that tables are built from.
-    pub fn service(&self) -> Service {
+    pub fn to_service(&self) -> Service {
         let to_method = |method: &MethodConfig| Method {
             name: method.name.clone(),
             path: method.path.clone(),
@@ -299,20 +299,20 @@
 }
 
 /// Collects the errors of a configuration.
-struct Checker(Vec<Fault>);
+struct Checker(Vec<ConfigError>);
 
 impl Checker {
     /// Adds an error unless the condition holds.
-    fn require(&mut self, holds: bool, path: &str, what: &str) {
+    fn require(&mut self, holds: bool, path: &str, message: &str) {
         if !holds {
-            self.0.push(Fault { path: path.to_string(), what: what.to_string() });
+            self.0.push(ConfigError { path: path.to_string(), message: message.to_string() });
         }
     }
 }
 
 impl AssignerConfig {
     /// All errors that can be found without starting anything.
-    pub fn check(&self) -> Vec<Fault> {
+    pub fn validate(&self) -> Vec<ConfigError> {
         let mut checker = Checker(Vec::new());
         let is_valid_name = |name: &str| {
             !name.is_empty() && name.chars().all(|ch| ch.is_ascii_alphanumeric() || "-_.".contains(ch))
@@ -415,7 +415,7 @@
     }
 
     /// The settings in the form that the module reads.
-    pub fn settings(&self) -> Settings {
+    pub fn to_module_settings(&self) -> Settings {
         let mut map = BTreeMap::new();
         let mut set = |path: &str, value: String| drop(map.insert(path.to_string(), value));
         let own_index = self.peers.iter().position(|peer| *peer == self.name).unwrap_or(0);
--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -18,10 +18,10 @@
 use whinhill_xds::proto;
 
 use crate::config::AssignerConfig;
-use crate::history_recorder::{Batch, Chronicle, NumberedUpdate};
-use crate::name_index::Names;
-use crate::operator_api::{Answer, Ask, ReportsAnswer, ReportsLine};
-use crate::reports::{event, read_report};
+use crate::history_recorder::{HistoryRecorder, NumberedUpdate, RecordedBatch};
+use crate::name_index::NameIndex;
+use crate::operator_api::{LoadReportStatus, OperatorRequest, OperatorResponse, ProxyLoadStatus};
+use crate::reports::{read_report, to_event};
 use crate::roster::{RosterEntry, RosterState};
 
 /// An event that the assigner reacts to.
@@ -52,7 +52,7 @@
     /// The history file holds every update up to this number.
     HistoryPersisted { seq: u64 },
     /// An operator's request; the answer carries the same id.
-    OperatorRequest { id: u64, request: Ask },
+    OperatorRequest { id: u64, request: OperatorRequest },
 }
 
 /// What the caller must do, in this order: write tables into the cache, announce acquired and released slices at
@@ -84,7 +84,7 @@
     /// What the history file must persist.
     pub history_update: Option<NumberedUpdate>,
     /// Answers to operators: request id, number of the history update that must be persisted first, and answer.
-    pub answers: Vec<(u64, u64, Answer)>,
+    pub answers: Vec<(u64, u64, OperatorResponse)>,
     /// Lines for the log.
     pub log: Vec<String>,
 }
@@ -100,7 +100,7 @@
 /// The assigner's state: the decision module, the published tables, load reports and history.
 pub struct Core {
     module: whinhill::Assigner,
-    names: Names,
+    names: NameIndex,
     publisher: TablePublisher,
     reports: ReportAggregator,
     service: Arc<Service>,
@@ -126,22 +126,22 @@
     report_intervals: BTreeMap<ProxyId, Duration>,
     /// Too little load is reported to decide anything on it.
     load_unknown: bool,
-    history_recorder: Chronicle,
+    history_recorder: HistoryRecorder,
     max_withhold: Duration,
     unix_ms: u64,
     /// Requests of this batch that are still to be answered, with their ids.
-    operator_requests: Vec<(u64, Ask)>,
+    operator_requests: Vec<(u64, OperatorRequest)>,
 }
 
 /// Server health and handovers as the module knows them, for rollbacks.
 struct ModuleServerView<'a> {
     module: &'a whinhill::Assigner,
-    names: &'a Names,
+    names: &'a NameIndex,
 }
 
 impl ServerView for ModuleServerView<'_> {
     fn server_status(&self, server: &str) -> ServerStatus {
-        match self.names.known(server).map(|index| self.module.health(index)) {
+        match self.names.known_index(server).map(|index| self.module.health(index)) {
             None => ServerStatus::Unknown,
             Some(Health::Ready) => ServerStatus::Ready,
             Some(Health::Cold) => ServerStatus::Cold,
@@ -159,11 +159,11 @@
 impl Core {
     /// A core with an empty history; `seed` seeds all its random choices.
     pub fn new(config: &AssignerConfig, seed: u64) -> Result<Self, SettingsError> {
-        let service = Arc::new(config.service.service());
+        let service = Arc::new(config.service.to_service());
         let writes = service.methods.iter().map(|method| method.writes).collect();
         Ok(Core {
-            module: whinhill::Assigner::new(&config.settings(), seed)?,
-            names: Names::new(&config.zones),
+            module: whinhill::Assigner::new(&config.to_module_settings(), seed)?,
+            names: NameIndex::new(&config.zones),
             publisher: TablePublisher::new(service.slices, writes, config.service.tries),
             reports: ReportAggregator::new(
                 whinhill_reports::Limits {
@@ -186,8 +186,8 @@
             started: false,
             events_before_first_list: Vec::new(),
             grants_ordered: 0,
-            history_recorder: Chronicle::new(
-                History::new(config.history.limits(), 0, TableSet::new()),
+            history_recorder: HistoryRecorder::new(
+                History::new(config.history.to_limits(), 0, TableSet::new()),
                 Vec::new(),
                 max_withhold(config),
                 Duration::ZERO,
@@ -201,7 +201,7 @@
 
     /// Continues with the history and the rollbacks that were read from the file.
     pub fn restore(&mut self, history: History, rollbacks: Vec<Rollback>, now: Duration, unix_ms: u64) {
-        self.history_recorder = Chronicle::new(history, rollbacks, self.max_withhold, now, unix_ms);
+        self.history_recorder = HistoryRecorder::new(history, rollbacks, self.max_withhold, now, unix_ms);
     }
 
     /// Sets the wall-clock time, which only stamps history entries for readers.
@@ -210,7 +210,7 @@
     }
 
     /// The published sets and the rollbacks.
-    pub fn history_recorder(&self) -> &Chronicle {
+    pub fn history_recorder(&self) -> &HistoryRecorder {
         &self.history_recorder
     }
 
@@ -262,7 +262,7 @@
         for input in inputs {
             self.apply_input(now, input, &mut events, &mut effects, &mut granted);
         }
-        let overdue = self.history_recorder.overdue(now);
+        let overdue = self.history_recorder.release_overdue(now);
         let overdue_count = overdue.len();
         effects.lines_per_proxy += overdue_count as u32;
         effects.changed.extend(overdue);
@@ -278,22 +278,32 @@
 
     /// Records the changes in the history, withholds owners that must be persisted first, and answers operators.
     fn record_history(&mut self, now: Duration, granted: BTreeSet<SliceId>, effects: &mut Effects) {
-        let mut touched: BTreeSet<SliceId> = granted.clone();
+        let mut changed_slices: BTreeSet<SliceId> = granted.clone();
         for slices in [&effects.changed, &effects.acquired, &effects.released] {
-            touched.extend(slices);
+            changed_slices.extend(slices);
         }
         // Recorded before any update is taken for persisting: the rollback that requested a grant is known only
         // until its requests are next evaluated.
         let published = self.publisher.published();
         let (unix_ms, cause) = (self.unix_ms, effects.log.first().cloned());
-        self.history_recorder.record(Batch { now, unix_ms, published, touched, granted, cause });
+        self.history_recorder.record(RecordedBatch {
+            now,
+            unix_ms,
+            published,
+            changed_slices,
+            granted,
+            cause,
+        });
         let server_view = ModuleServerView { module: &self.module, names: &self.names };
         for (id, request) in std::mem::take(&mut self.operator_requests) {
             // Only a request that changes something must be persisted before it is answered: with a full disk the
             // history can still be read.
-            let changes_state = matches!(request, Ask::Rollback { dry_run: false, .. } | Ask::PinGood { .. });
+            let changes_state = matches!(
+                request,
+                OperatorRequest::Rollback { dry_run: false, .. } | OperatorRequest::PinGood { .. }
+            );
             let answer = match request {
-                Ask::Reports => self.reports_answer(now),
+                OperatorRequest::Reports => self.reports_answer(now),
                 request => crate::operator_handler::answer(
                     &mut self.history_recorder,
                     published,
@@ -307,19 +317,20 @@
         }
         let history_recorder = &self.history_recorder;
         effects.changed.retain(|slice| !history_recorder.is_withheld(*slice));
-        effects.history_update = self.history_recorder.take_page();
+        effects.history_update = self.history_recorder.take_update();
     }
 
     /// Gives the module its events and carries out the orders that it returns.
     fn decide(&mut self, now: Duration, mut events: Vec<Event>, effects: &mut Effects) {
         let names = &self.names;
         let endpoint = |index: usize| {
-            let stable_id = names.server(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
+            let stable_id =
+                names.server_name(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
             EndpointId { index, stable_id }
         };
         if self.started {
             let report_lines = self.reports.output_due_lines(now);
-            events.extend(report_lines.iter().map(|line| event(line, endpoint)));
+            events.extend(report_lines.iter().map(|line| to_event(line, endpoint)));
             let load_unknown = self.reports.is_coverage_too_low();
             if load_unknown != std::mem::replace(&mut self.load_unknown, load_unknown) {
                 effects.log.push(load_state_message(load_unknown, self.reports.stats()));
@@ -335,7 +346,7 @@
         }
         let server_view = ModuleServerView { module: &self.module, names };
         let (requested_moves, ended) =
-            self.history_recorder.look(now, self.publisher.published(), &server_view);
+            self.history_recorder.evaluate_rollbacks(now, self.publisher.published(), &server_view);
         effects.log.extend(ended);
         for (slice, server) in requested_moves {
             events.push(Event::MoveRequested { slice, destination: self.names.endpoint(&server) });
@@ -368,7 +379,7 @@
             }
             Input::RosterUnchanged => self.names.mark_list_current(now),
             Input::ProxyJoined { proxy, zone, stream } => {
-                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
+                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone_id(&zone));
                 if self.joined_streams.insert(id, stream).is_some() {
                     events.push(Event::ProxyLeft { proxy: id });
                     effects.left_proxies.push(id);
@@ -396,7 +407,7 @@
                 }
             }
             Input::Report { proxy, zone, report } => {
-                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
+                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone_id(&zone));
                 let report = read_report(id, zone, &report, &self.service, &self.names);
                 self.reports.add_report(now, report);
                 let interval = self.reports.reporting_interval(id);
@@ -407,7 +418,7 @@
                 }
             }
             Input::ReportStreamOpened { proxy, zone } => {
-                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone(&zone));
+                let (id, zone) = (self.names.proxy_id(&proxy), self.names.zone_id(&zone));
                 self.reports.stream_opened(now, id, zone);
             }
             Input::ReportStreamClosed { proxy } => {
@@ -430,7 +441,7 @@
                 granted.extend(changed.slices);
             }
             Input::HistoryPersisted { seq } => {
-                let publishable = self.history_recorder.kept(seq);
+                let publishable = self.history_recorder.on_persisted(seq);
                 effects.lines_per_proxy += publishable.len() as u32;
                 effects.changed.extend(publishable);
             }
@@ -444,16 +455,16 @@
     }
 
     /// The answer to a request for the state of load reporting.
-    fn reports_answer(&self, now: Duration) -> Answer {
+    fn reports_answer(&self, now: Duration) -> OperatorResponse {
         let (ledger, shown) = (*self.reports.ledger(), *self.reports.stats());
         let proxy_line =
-            |(id, hearing, late, rate): (ProxyId, ReportingState, Duration, Option<f64>)| ReportsLine {
+            |(id, hearing, late, rate): (ProxyId, ReportingState, Duration, Option<f64>)| ProxyLoadStatus {
                 proxy: self.names.proxy_name(id).to_string(),
                 hearing: hearing.name().to_string(),
                 late_ms: late.as_millis() as u64,
                 tries_per_s: rate.unwrap_or(0.0),
             };
-        Answer::Reports(Box::new(ReportsAnswer {
+        OperatorResponse::Reports(Box::new(LoadReportStatus {
             reports: ledger.reports,
             offered: ledger.offered,
             given: ledger.given,
@@ -506,7 +517,7 @@
         self.publisher.add_known_server(server.clone());
         ServerEntry {
             endpoint: self.names.endpoint(&server),
-            zone: self.names.zone(&entry.zone),
+            zone: self.names.zone_id(&entry.zone),
             status: match entry.state {
                 RosterState::Ready => ListedStatus::Ready,
                 RosterState::Draining => ListedStatus::Draining,
@@ -571,7 +582,7 @@
     fn execute(&mut self, now: Duration, orders: &[Order], effects: &mut Effects) {
         self.revoke_leaving_owners(orders, effects);
         let names = &self.names;
-        let changed = self.publisher.apply(orders, |index| names.server(index));
+        let changed = self.publisher.apply(orders, |index| names.server_name(index));
         effects.log.extend(changed.violations.iter().map(|violation| format!("not published: {violation}")));
         effects.changed.extend(changed.slices);
         effects.safety |= changed.safety;
@@ -591,7 +602,7 @@
                     self.ack_seq_ordered_at.remove(&old);
                 }
                 Order::WatchList | Order::FetchList => effects.fetch_roster = true,
-                Order::Probe { endpoint } => effects.probes.extend(names.server(endpoint.index)),
+                Order::Probe { endpoint } => effects.probes.extend(names.server_name(endpoint.index)),
                 Order::Wake { after } => self.next_wake = now + *after,
                 Order::Log { text } => effects.log.push(with_server_names(text, names)),
                 Order::Grant { .. } | Order::Revoke { .. } | Order::Level { .. } => {}
@@ -631,10 +642,10 @@
 }
 
 /// Replaces the server index at the start of one of the module's log lines by the server's address.
-fn with_server_names(text: &str, names: &Names) -> String {
+fn with_server_names(text: &str, names: &NameIndex) -> String {
     let Some(rest) = text.strip_prefix("server ") else { return text.to_string() };
     let (number, rest) = rest.split_once(' ').unwrap_or((rest, ""));
-    match number.parse().ok().and_then(|index| names.server(index)) {
+    match number.parse().ok().and_then(|index| names.server_name(index)) {
         Some(name) => format!("server {name} {rest}"),
         None => text.to_string(),
     }
--- a/crates/whinhill-assigner/src/core/tests.rs
+++ b/crates/whinhill-assigner/src/core/tests.rs
@@ -1,7 +1,7 @@
 //! The core without threads and sockets: inputs in, effects out.
 
 use super::*;
-use crate::config::Fault;
+use crate::config::ConfigError;
 
 const CONFIG: &str = r#"{
   name: "a", peers: ["a", "b"], listen: "127.0.0.1:0", zone: "z", zones: ["z"],
@@ -178,7 +178,7 @@
 
 #[test]
 fn wall_clock_step_does_not_change_a_start_time() {
-    let mut names = Names::new(&[]);
+    let mut names = NameIndex::new(&[]);
     let server: ServerName = "10.0.0.1:7".into();
     let first = names.start_time(&server, Some(990_000), 1_000_000, s(100.0));
     assert_eq!(first, Some(s(90.0)));
@@ -227,7 +227,7 @@
 #[test]
 fn report_is_read_by_slice_and_server_and_unknown_names_are_counted() {
     use whinhill_reports::Key;
-    let (service, mut names) = (config().service.service(), Names::new(&[]));
+    let (service, mut names) = (config().service.to_service(), NameIndex::new(&[]));
     names.endpoint("10.0.0.1:7");
     let read = |cluster: &str, server: &str, tries| {
         crate::reports::read_report(5, 0, &report(cluster, server, tries), &service, &names)
@@ -306,7 +306,7 @@
     config.peers = vec!["b".into()];
     config.service.methods[1].deadline_ms = 1;
     config.custody.margin_ms = 1;
-    let faults: Vec<String> = config.check().iter().map(Fault::to_string).collect();
+    let faults: Vec<String> = config.validate().iter().map(ConfigError::to_string).collect();
     let names_path = |path: &str| faults.iter().any(|fault| fault.starts_with(path));
     assert!(
         names_path("peers")
@@ -321,12 +321,15 @@
 fn change_is_answered_once_persisted_and_query_at_once() {
     let mut core = running();
     let operator_request = |id, request| Input::OperatorRequest { id, request };
-    let history = operator_request(1, Ask::History { most: 5 });
-    let pin = operator_request(2, Ask::PinGood { version: crate::operator_api::Target::Current });
+    let history = operator_request(1, OperatorRequest::History { most: 5 });
+    let pin = operator_request(
+        2,
+        OperatorRequest::PinGood { version: crate::operator_api::VersionSelector::Current },
+    );
     let effects = core.handle(s(7.0), vec![history, pin]);
     let seq = effects.history_update.unwrap().seq;
-    assert!(matches!(&effects.answers[0], (1, 0, Answer::History { .. })), "{:?}", effects.answers);
-    assert!(matches!(&effects.answers[1], (2, after, Answer::Pinned { .. }) if *after == seq));
+    assert!(matches!(&effects.answers[0], (1, 0, OperatorResponse::History { .. })), "{:?}", effects.answers);
+    assert!(matches!(&effects.answers[1], (2, after, OperatorResponse::Pinned { .. }) if *after == seq));
 }
 
 /// A list that has not changed for long is still current: a server that then appears on it has just started, whatever
--- a/crates/whinhill-assigner/src/history_file.rs
+++ b/crates/whinhill-assigner/src/history_file.rs
@@ -12,7 +12,7 @@
 
 /// What the file is known to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistedUpdate {
     /// The number of the last update, as in [`NumberedUpdate`].
     pub seq: u64,
     /// The newest version.
@@ -54,7 +54,7 @@
         limits: Limits,
         retry: &Retry<'_>,
     ) -> Result<(Self, History, Vec<Rollback>), HistoryDbError> {
-        retry.until_done("opening the history", HistoryDbError::is_transient, || Self::open(path, limits))
+        retry.call("opening the history", HistoryDbError::is_transient, || Self::open(path, limits))
     }
 
     /// Where the file is.
@@ -68,13 +68,13 @@
     }
 
     /// Whether an update is pending.
-    pub fn has_waiting(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         self.pending.is_some()
     }
 
     /// Persists the pending update; `None` if there is none. After an error none of it is known to be persisted, and
     /// all of it stays pending.
-    pub fn keep(&mut self) -> Result<Option<Kept>, HistoryDbError> {
+    pub fn persist_pending(&mut self) -> Result<Option<PersistedUpdate>, HistoryDbError> {
         let Some(NumberedUpdate { seq, update }) = self.pending.take() else { return Ok(None) };
         let result = self.open_db().and_then(|db| db.persist(&update));
         if let Err(error) = result {
@@ -82,7 +82,7 @@
             self.pending = Some(NumberedUpdate { seq, update });
             return Err(error);
         }
-        Ok(Some(Kept { seq, version: update.number }))
+        Ok(Some(PersistedUpdate { seq, version: update.number }))
     }
 
     /// The open database.
--- a/crates/whinhill-assigner/src/history_recorder.rs
+++ b/crates/whinhill-assigner/src/history_recorder.rs
@@ -19,7 +19,7 @@
 /// Rollbacks that may be in progress, and the number of rollbacks that are remembered, finished ones included.
 const MAX_ROLLBACKS: usize = 32;
 
-/// A history update for the file. Once it is persisted, [`Chronicle::kept`] is called with its number or a later one.
+/// A history update for the file. Once it is persisted, [`HistoryRecorder::on_persisted`] is called with its number or a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedUpdate {
     pub seq: u64,
@@ -41,12 +41,12 @@
 }
 
 /// The changes that one batch made to the published tables.
-pub struct Batch<'a> {
+pub struct RecordedBatch<'a> {
     pub now: Duration,
     pub unix_ms: u64,
     pub published: &'a TableSet,
     /// Slices whose table changed or that this assigner no longer has custody of.
-    pub touched: BTreeSet<SliceId>,
+    pub changed_slices: BTreeSet<SliceId>,
     /// Those among them that have a new owner.
     pub granted: BTreeSet<SliceId>,
     /// The module's reason, if it logged one.
@@ -73,7 +73,7 @@
 
 /// The history, the owners withheld for it, and the rollbacks.
 #[derive(Debug)]
-pub struct Chronicle {
+pub struct HistoryRecorder {
     history: History,
     /// The history's clock continues over restarts; this is added to the assigner's clock to get it.
     offset: Duration,
@@ -94,7 +94,7 @@
     next_evaluation: Duration,
 }
 
-impl Chronicle {
+impl HistoryRecorder {
     /// Continues with what the file held. The tables of a former incarnation have no custody: it is acquired anew. An
     /// owner is withheld for the file for at most `max_withhold`.
     pub fn new(
@@ -106,7 +106,7 @@
     ) -> Self {
         let last = history.entries().last().map_or(Duration::ZERO, |entry| entry.at);
         rollbacks.iter_mut().for_each(|rollback| rollback.resume(now));
-        let mut recorder = Chronicle {
+        let mut recorder = HistoryRecorder {
             history,
             offset: last.saturating_sub(now),
             last_seq: 0,
@@ -157,9 +157,9 @@
     }
 
     /// Records the changes of a batch, and withholds the owners that it granted.
-    pub fn record(&mut self, batch: Batch<'_>) {
-        let Batch { now, unix_ms, published, touched, granted, cause } = batch;
-        if touched.is_empty() {
+    pub fn record(&mut self, batch: RecordedBatch<'_>) {
+        let RecordedBatch { now, unix_ms, published, changed_slices, granted, cause } = batch;
+        if changed_slices.is_empty() {
             return;
         }
         let rollback_of = |slice: &SliceId| {
@@ -170,17 +170,17 @@
         let rollback = granted.iter().find_map(rollback_of);
         let author = rollback.map_or(Author::Module, |r| Author::Rollback { to: r.to, by: r.by.clone() });
         let summary = || {
-            let published_count = touched.iter().filter(|slice| published.contains_key(slice)).count();
+            let published_count = changed_slices.iter().filter(|slice| published.contains_key(slice)).count();
             format!(
                 "{} granted, {} told, {} given up",
                 granted.len(),
                 published_count,
-                touched.len() - published_count
+                changed_slices.len() - published_count
             )
         };
         let cause = cause.unwrap_or_else(summary);
-        let changes = touched.iter().map(|slice| (*slice, published.get(slice).cloned())).collect();
-        for slice in touched.iter().filter(|slice| !published.contains_key(slice)) {
+        let changes = changed_slices.iter().map(|slice| (*slice, published.get(slice).cloned())).collect();
+        for slice in changed_slices.iter().filter(|slice| !published.contains_key(slice)) {
             self.rollbacks.iter_mut().for_each(|rollback| rollback.custody_ended(*slice));
         }
         self.record_changes(changes, author, &cause, now, unix_ms);
@@ -199,12 +199,12 @@
     }
 
     /// The number of withheld slices.
-    pub fn held_back(&self) -> usize {
+    pub fn withheld_count(&self) -> usize {
         self.withheld.len()
     }
 
     /// Takes the pending update, for the file.
-    pub fn take_page(&mut self) -> Option<NumberedUpdate> {
+    pub fn take_update(&mut self) -> Option<NumberedUpdate> {
         self.pending_update.take().map(|update| NumberedUpdate { seq: self.last_seq, update })
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// The file holds all updates up to this number; returns the slices that may be published now.
-    pub fn kept(&mut self, seq: u64) -> BTreeSet<SliceId> {
+    pub fn on_persisted(&mut self, seq: u64) -> BTreeSet<SliceId> {
         self.persisted_seq = self.persisted_seq.max(seq);
         let publishable: BTreeSet<SliceId> = self
             .withheld
@@ -228,7 +228,7 @@
     }
 
     /// Returns the slices whose owner was withheld for the maximum time: they are published now.
-    pub fn overdue(&mut self, now: Duration) -> BTreeSet<SliceId> {
+    pub fn release_overdue(&mut self, now: Duration) -> BTreeSet<SliceId> {
         let overdue = self.withheld.iter().filter(|(_, withheld)| withheld.until <= now);
         let overdue: BTreeSet<SliceId> = overdue.map(|(slice, _)| *slice).collect();
         self.withheld.retain(|slice, _| !overdue.contains(slice));
@@ -259,7 +259,7 @@
     }
 
     /// Starts a rollback. It requests no move before its update is persisted, so that it survives a crash.
-    pub fn roll_back(
+    pub fn start_rollback(
         &mut self,
         to: u64,
         by: &str,
@@ -293,7 +293,7 @@
     }
 
     /// Marks a version as good; false if it is not in the history.
-    pub fn pin_good(&mut self, number: u64) -> bool {
+    pub fn mark_good(&mut self, number: u64) -> bool {
         let pinned = self.history.mark_good(number);
         if pinned {
             let update = self.history.update_without_delta();
@@ -304,7 +304,7 @@
 
     /// Evaluates the rollbacks, at intervals. Returns the moves to request from the module, and log lines for the
     /// rollbacks that ended.
-    pub fn look(
+    pub fn evaluate_rollbacks(
         &mut self,
         now: Duration,
         published: &TableSet,
--- a/crates/whinhill-assigner/src/history_writer.rs
+++ b/crates/whinhill-assigner/src/history_writer.rs
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 use crate::core::Input;
-use crate::history_file::{HistoryFile, Kept};
+use crate::history_file::{HistoryFile, PersistedUpdate};
 use crate::history_recorder::NumberedUpdate;
 use crate::status::Counters;
 
@@ -32,16 +32,16 @@
     pub fn run(mut self) {
         let mut healthy = true;
         loop {
-            let wait = if self.file.has_waiting() { RETRY_DELAY } else { POLL_INTERVAL };
+            let wait = if self.file.has_pending() { RETRY_DELAY } else { POLL_INTERVAL };
             match self.queued_updates.recv_timeout(wait) {
                 Ok(update) => self.file.put(update),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.queued_updates.try_iter().for_each(|update| self.file.put(update));
-            match self.file.keep() {
+            match self.file.persist_pending() {
                 Ok(None) => {}
-                Ok(Some(Kept { seq, .. })) => {
+                Ok(Some(PersistedUpdate { seq, .. })) => {
                     if !std::mem::replace(&mut healthy, true) {
                         info!(seq, "the history is written again");
                     }
--- a/crates/whinhill-assigner/src/lib.rs
+++ b/crates/whinhill-assigner/src/lib.rs
@@ -34,19 +34,19 @@
 pub use assigner::{Assigner, StartError};
 pub use channel::{Channel, ProxyMessage};
 pub use config::{
-    AssignerConfig, ChannelConfig, CustodySettings, Fault, HistoryConfig, MethodConfig, MethodEffect,
+    AssignerConfig, ChannelConfig, ConfigError, CustodySettings, HistoryConfig, MethodConfig, MethodEffect,
     RosterConfig, RulesConfig, Sabotage, ServiceConfig, StoreConfig,
 };
-pub use history_file::{HistoryFile, Kept};
-pub use history_recorder::{Batch, Chronicle, NumberedUpdate, RollbackError};
-pub use name_index::Names;
+pub use history_file::{HistoryFile, PersistedUpdate};
+pub use history_recorder::{HistoryRecorder, NumberedUpdate, RecordedBatch, RollbackError};
+pub use name_index::NameIndex;
 pub use operator_api::{
-    Answer, Ask, PlanLine, ProxyLine, ReportsAnswer, ReportsLine, RollbackLine, SliceLine, Target,
-    VersionLine, ASK_PATH,
+    LoadReportStatus, OperatorRequest, OperatorResponse, ProxyLoadStatus, ProxyStatus, RollbackStatus,
+    SliceDiff, SlicePlan, VersionSelector, VersionSummary, OPERATOR_METHOD_PATH,
 };
-pub use operator_client::{ask, AskError};
-pub use reports::{event, read_report};
+pub use operator_client::{send_request, RequestError};
+pub use reports::{read_report, to_event};
 pub use retry::Retry;
 pub use roster::{read_roster, RosterEntry, RosterFile, RosterState};
-pub use status::{process_figures_of, Status};
+pub use status::{process_cpu_and_memory, Status};
 pub use status_file::StatusFile;
--- a/crates/whinhill-assigner/src/name_index.rs
+++ b/crates/whinhill-assigner/src/name_index.rs
@@ -17,7 +17,7 @@
 
 /// The indices of all names so far.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameIndex {
     servers: Vec<ServerName>,
     server_indices: HashMap<ServerName, usize>,
     zones: Vec<String>,
@@ -26,10 +26,10 @@
     starts: StartTimes,
 }
 
-impl Names {
+impl NameIndex {
     /// An index that knows these zones.
     pub fn new(zones: &[String]) -> Self {
-        Names { zones: zones.to_vec(), ..Names::default() }
+        NameIndex { zones: zones.to_vec(), ..NameIndex::default() }
     }
 
     /// The endpoint of a server; a new name is added.
@@ -46,22 +46,22 @@
     }
 
     /// The index of a server that was on a list or in the store. A name that only occurs in a report is unknown.
-    pub fn known(&self, server: &str) -> Option<usize> {
+    pub fn known_index(&self, server: &str) -> Option<usize> {
         self.server_indices.get(server).copied()
     }
 
     /// The name of a server by its index.
-    pub fn server(&self, index: usize) -> Option<ServerName> {
+    pub fn server_name(&self, index: usize) -> Option<ServerName> {
         self.servers.get(index).cloned()
     }
 
     /// The number of servers.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
     /// The index of a zone; a new name is added.
-    pub fn zone(&mut self, name: &str) -> ZoneId {
+    pub fn zone_id(&mut self, name: &str) -> ZoneId {
         let position = self.zones.iter().position(|zone| zone == name);
         position.unwrap_or_else(|| {
             // Peers may send any name: beyond the limit all unknown zones are treated as one.
--- a/crates/whinhill-assigner/src/operator_api.rs
+++ b/crates/whinhill-assigner/src/operator_api.rs
@@ -8,12 +8,12 @@
 use whinhill_tables::{Author, SliceTable};
 
 /// The path of the one method, on the listener for operators.
-pub const ASK_PATH: &str = "/whinhill.admin.v1.Tables/Ask";
+pub const OPERATOR_METHOD_PATH: &str = "/whinhill.admin.v1.Tables/Ask";
 
 /// How an operator names a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Target {
+pub enum VersionSelector {
     /// By its number.
     Version(u64),
     /// The version that was current at a wall-clock time, in milliseconds since 1970.
@@ -27,18 +27,18 @@
 /// An operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+pub enum OperatorRequest {
     /// The newest versions, newest first.
     History { most: usize },
     /// The tables of a version; of all slices, or of those listed.
-    Show { version: Target, slices: Option<BTreeSet<SliceId>> },
+    Show { version: VersionSelector, slices: Option<BTreeSet<SliceId>> },
     /// The slices whose tables differ between two versions.
-    Diff { from: Target, to: Target },
+    Diff { from: VersionSelector, to: VersionSelector },
     /// Marks a version as good.
-    PinGood { version: Target },
+    PinGood { version: VersionSelector },
     /// Moves slices back to their owners of a version, or shows what that would do.
     Rollback {
-        to: Target,
+        to: VersionSelector,
         slices: Option<BTreeSet<SliceId>>,
         /// Who requests it.
         by: String,
@@ -57,7 +57,7 @@
 /// The state of load reporting. Counts are of tries since the start, except `reports`, `strange` and the counts of
 /// lines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportsAnswer {
+pub struct LoadReportStatus {
     pub reports: u64,
     pub offered: u64,
     pub given: u64,
@@ -86,12 +86,12 @@
     pub lag_ms_middle: u64,
     pub lag_ms_most: u64,
     /// All proxies, the worst first.
-    pub proxies: Vec<ReportsLine>,
+    pub proxies: Vec<ProxyLoadStatus>,
 }
 
 /// The load reporting of one proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportsLine {
+pub struct ProxyLoadStatus {
     pub proxy: String,
     /// The state of its reports: heard, quiet, silent or cut.
     pub hearing: String,
@@ -101,7 +101,7 @@
 
 /// One version of the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VersionLine {
+pub struct VersionSummary {
     pub number: u64,
     /// In hexadecimal; equal sets have equal hashes everywhere.
     pub hash: String,
@@ -114,7 +114,7 @@
 
 /// A slice whose table differs between two versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SliceLine {
+pub struct SliceDiff {
     pub slice: SliceId,
     pub was: Option<SliceTable>,
     pub now: Option<SliceTable>,
@@ -122,7 +122,7 @@
 
 /// What a rollback does with one slice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PlanLine {
+pub struct SlicePlan {
     pub slice: SliceId,
     /// One of: stands, moves, waits, refused.
     pub verdict: String,
@@ -132,7 +132,7 @@
 
 /// The progress of one rollback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RollbackLine {
+pub struct RollbackStatus {
     pub id: u64,
     pub to: u64,
     pub by: String,
@@ -144,7 +144,7 @@
 
 /// The version that one proxy has acknowledged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ProxyLine {
+pub struct ProxyStatus {
     pub proxy: String,
     /// The newest version that it has acknowledged completely.
     pub acked: Option<u64>,
@@ -156,11 +156,11 @@
 /// The answer to an operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum OperatorResponse {
     History {
         current: u64,
         compacted: u64,
-        versions: Vec<VersionLine>,
+        versions: Vec<VersionSummary>,
     },
     Set {
         number: u64,
@@ -170,7 +170,7 @@
     Diff {
         from: u64,
         to: u64,
-        slices: Vec<SliceLine>,
+        slices: Vec<SliceDiff>,
     },
     Pinned {
         number: u64,
@@ -178,15 +178,15 @@
     Plan {
         id: Option<u64>,
         to: u64,
-        slices: Vec<PlanLine>,
+        slices: Vec<SlicePlan>,
         levels_left: usize,
     },
-    Rollbacks(Vec<RollbackLine>),
+    Rollbacks(Vec<RollbackStatus>),
     Proxies {
         current: u64,
-        proxies: Vec<ProxyLine>,
+        proxies: Vec<ProxyStatus>,
     },
-    Reports(Box<ReportsAnswer>),
+    Reports(Box<LoadReportStatus>),
     /// The request was refused, with the reason in one line.
     Refused(String),
 }
--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -7,7 +7,7 @@
 use whinhill_xds::mapping::{server_name, Service};
 use whinhill_xds::proto;
 
-use crate::name_index::Names;
+use crate::name_index::NameIndex;
 
 /// Reads one proxy's report. Unknown clusters and servers that were on no list are only counted, so that a peer can't
 /// fill the assigner's memory with names.
@@ -16,7 +16,7 @@
     zone: ZoneId,
     report: &proto::LoadStatsRequest,
     service: &Service,
-    names: &Names,
+    names: &NameIndex,
 ) -> Report {
     let mut reported = Report { proxy, zone, interval: None, unresolved_lines: 0, lines: Vec::new() };
     for cluster in &report.cluster_stats {
@@ -38,7 +38,7 @@
         let servers = cluster.upstream_locality_stats.iter().flat_map(|l| &l.upstream_endpoint_stats);
         for server in servers.filter(|server| server.total_issued_requests > 0) {
             let name = server.address.as_ref().and_then(server_name);
-            let Some(server_index) = name.and_then(|name| names.known(&name)) else {
+            let Some(server_index) = name.and_then(|name| names.known_index(&name)) else {
                 reported.unresolved_lines += 1;
                 continue;
             };
@@ -53,7 +53,7 @@
 }
 
 /// The module's event for a line of the intake.
-pub fn event(line: &MergedLine, endpoint: impl Fn(usize) -> EndpointId) -> Event {
+pub fn to_event(line: &MergedLine, endpoint: impl Fn(usize) -> EndpointId) -> Event {
     let (figures, interval) = (&line.figures, line.interval);
     match line.key {
         Key::Slice { slice, method } => {
--- a/crates/whinhill-assigner/src/retry.rs
+++ b/crates/whinhill-assigner/src/retry.rs
@@ -12,14 +12,14 @@
 /// How long a call is retried, and what ends the retries early.
 pub struct Retry<'a> {
     /// How long to retry, from the first attempt.
-    pub within: Duration,
+    pub duration: Duration,
     /// Set by another thread: the current attempt is then the last.
     pub stop: &'a AtomicBool,
 }
 
 impl Retry<'_> {
     /// Repeats a call until it succeeds, fails permanently, or the time is up; returns its last result.
-    pub fn until_done<T, E: Display>(
+    pub fn call<T, E: Display>(
         &self,
         what: &str,
         may_pass: impl Fn(&E) -> bool,
@@ -47,6 +47,6 @@
     }
 
     fn has_ended(&self, started_at: Instant) -> bool {
-        self.stop.load(Ordering::Relaxed) || started_at.elapsed() >= self.within
+        self.stop.load(Ordering::Relaxed) || started_at.elapsed() >= self.duration
     }
 }
--- a/crates/whinhill-assigner/src/status.rs
+++ b/crates/whinhill-assigner/src/status.rs
@@ -61,11 +61,11 @@
 
 /// Processor time in milliseconds and resident memory in KiB of this process, from Linux's `/proc`; 0 elsewhere.
 pub fn process_figures() -> (u64, u64) {
-    process_figures_of("self")
+    process_cpu_and_memory("self")
 }
 
 /// Like [`process_figures`], for the process with this id.
-pub fn process_figures_of(process: &str) -> (u64, u64) {
+pub fn process_cpu_and_memory(process: &str) -> (u64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     // Fields 14 and 15 are the user and system time in ticks of 10 ms. The command name in brackets may contain spaces,
     // so only the fields after it are split.
--- a/crates/whinhill-cli/src/bench.rs
+++ b/crates/whinhill-cli/src/bench.rs
@@ -50,7 +50,7 @@
     let scratch = tempfile::tempdir().map_err(CommandError::runtime)?;
     match command {
         BenchCommand::ServerView { file, out } => {
-            let day: Day = config::read_file(&file, Day::check)?;
+            let day: Day = config::read_file(&file, Day::validate)?;
             let out = out.unwrap_or_else(|| scratch.path().to_path_buf());
             let figures = bench::fleet(&day, &program, &out).map_err(CommandError::runtime)?;
             figures.iter().try_for_each(print_json)
--- a/crates/whinhill-cli/src/bench_decisions.rs
+++ b/crates/whinhill-cli/src/bench_decisions.rs
@@ -10,7 +10,7 @@
     EndpointId, Event, ListKind, ListedStatus, LoadReport, Order, ServerEntry, Settings,
 };
 use whinhill::Assigner;
-use whinhill_assigner::process_figures_of;
+use whinhill_assigner::process_cpu_and_memory;
 use whinhill_names::Names;
 use whinhill_platform::discovery::DiscoveryRequest;
 use whinhill_platform::relay::watch::{PendingWork, RelayWatch, WatchSlot};
@@ -344,7 +344,7 @@
     let (since, mut memory_kb) = (fleet.now, Vec::new());
     for _ in 0..args.releases {
         fleet.run_release();
-        memory_kb.push(process_figures_of("self").1);
+        memory_kb.push(process_cpu_and_memory("self").1);
     }
     Ok(Figures {
         proxies: args.proxies,
--- a/crates/whinhill-cli/src/bench_proxy.rs
+++ b/crates/whinhill-cli/src/bench_proxy.rs
@@ -7,7 +7,7 @@
 
 use clap::Args;
 use serde::Serialize;
-use whinhill_assigner::process_figures_of;
+use whinhill_assigner::process_cpu_and_memory;
 use whinhill_proxy::KEY_HEADER;
 use whinhill_standins::bench::closed_loop;
 use whinhill_standins::day::{Day, Proxies, RunAs, Speaks};
@@ -76,7 +76,7 @@
             "expected: open 1 to 20000, callers 1 to 4096, seconds 0.1 to 600, slices 1 to 65534".into(),
         ));
     }
-    let mut day: Day = config::read_file(&args.file, Day::check)?;
+    let mut day: Day = config::read_file(&args.file, Day::validate)?;
     day.service.slices = args.slices;
     // One proxy and one server, so that there is nothing to decide. The server's work is small, so that the cost of the
     // path through the proxy dominates.
@@ -125,9 +125,9 @@
         headers: proxy_headers.iter().map(|(name, value)| (name.to_string(), value.clone())).collect(),
         json: true,
     };
-    let (cpu_ms_before, _) = process_figures_of(&process);
+    let (cpu_ms_before, _) = process_cpu_and_memory(&process);
     let open = load::measure(&load_args(args.seconds))?;
-    let cpu_ms = process_figures_of(&process).0.saturating_sub(cpu_ms_before).max(1);
+    let cpu_ms = process_cpu_and_memory(&process).0.saturating_sub(cpu_ms_before).max(1);
     // The processor time includes the second of warm-up. The proxy gets half of the RPCs.
     let rpcs = rate / 2.0 * (args.seconds + 1.0);
 
@@ -142,7 +142,7 @@
     })?;
     let (_, figures) = rig.first_proxy().ok_or_else(missing)?;
 
-    let (_, rest_kb) = process_figures_of(&process);
+    let (_, rest_kb) = process_cpu_and_memory(&process);
     let open_kb = memory_with_open_rpcs(rig, to, &path, args.open, &drivers, &process)?;
     Ok(ProxyBenchFigures {
         slices: args.slices,
@@ -190,7 +190,7 @@
     }
     let (until, mut max_kb) = (Instant::now() + Duration::from_secs(1), 0);
     while Instant::now() < until {
-        max_kb = max_kb.max(process_figures_of(process).1);
+        max_kb = max_kb.max(process_cpu_and_memory(process).1);
         thread::sleep(Duration::from_millis(20));
     }
     rig.silence(false);
--- a/crates/whinhill-cli/src/config.rs
+++ b/crates/whinhill-cli/src/config.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 
 use serde::de::DeserializeOwned;
-use whinhill_assigner::Fault;
+use whinhill_assigner::ConfigError;
 
 use crate::CommandError;
 
 /// Reads and checks a JSON5 file. The error lists all errors that `check` finds at once.
 pub fn read_file<T: DeserializeOwned>(
     path: &Path,
-    check: impl Fn(&T) -> Vec<Fault>,
+    check: impl Fn(&T) -> Vec<ConfigError>,
 ) -> Result<T, CommandError> {
     let shown_path = path.display();
     let text =
--- a/crates/whinhill-cli/src/day.rs
+++ b/crates/whinhill-cli/src/day.rs
@@ -40,7 +40,7 @@
 pub fn run(command: DayCommand) -> Result<(), CommandError> {
     match command {
         DayCommand::Run { file, json, out, seed, seeds, jobs } => {
-            let day: Day = config::read_file(&file, Day::check)?;
+            let day: Day = config::read_file(&file, Day::validate)?;
             let first = seed.unwrap_or(day.seed);
             let all_seeds: Vec<u64> = (0..seeds.max(1)).map(|offset| first.wrapping_add(offset)).collect();
             let mut broken = Vec::new();
--- a/crates/whinhill-cli/src/lifecycle.rs
+++ b/crates/whinhill-cli/src/lifecycle.rs
@@ -46,11 +46,8 @@
     let temporary = path.with_extension("new");
     let write =
         || std::fs::write(&temporary, addr.to_string()).and_then(|()| std::fs::rename(&temporary, path));
-    let written = Retry { within: Duration::MAX, stop }.until_done(
-        "writing the address",
-        is_temporary_file_error,
-        write,
-    );
+    let written =
+        Retry { duration: Duration::MAX, stop }.call("writing the address", is_temporary_file_error, write);
     match written {
         Err(_) if stop.load(Ordering::Relaxed) => Ok(()),
         written => written.map_err(|error| CommandError::Runtime(format!("{}: {error}", path.display()))),
--- a/crates/whinhill-cli/src/main.rs
+++ b/crates/whinhill-cli/src/main.rs
@@ -187,7 +187,7 @@
         Command::Assigner { platform: true, .. } => platform::run(log),
         Command::Assigner { config, ready_file, status_file, platform: false } => {
             let config = config.ok_or_else(|| CommandError::Usage("--config is missing".into()))?;
-            let mut config: AssignerConfig = config::read_file(&config, AssignerConfig::check)?;
+            let mut config: AssignerConfig = config::read_file(&config, AssignerConfig::validate)?;
             config.status_file = status_file.or(config.status_file);
             run_assigner(config, ready_file)
         }
@@ -201,9 +201,9 @@
         Command::Bench { command } => bench::run(command),
         Command::Config { command: ConfigCommand::Check { file, kind } } => {
             match kind {
-                ConfigKind::Assigner => drop(config::read_file(&file, AssignerConfig::check)?),
-                ConfigKind::Proxy => drop(config::read_file(&file, proxy::ProxyFile::check)?),
-                ConfigKind::Day => drop(config::read_file(&file, Day::check)?),
+                ConfigKind::Assigner => drop(config::read_file(&file, AssignerConfig::validate)?),
+                ConfigKind::Proxy => drop(config::read_file(&file, proxy::ProxyFile::validate)?),
+                ConfigKind::Day => drop(config::read_file(&file, Day::validate)?),
             }
             println!("{}: no errors", file.display());
             Ok(())
--- a/crates/whinhill-cli/src/proxy.rs
+++ b/crates/whinhill-cli/src/proxy.rs
@@ -7,7 +7,7 @@
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use whinhill_assigner::{Fault, ServiceConfig, StatusFile};
+use whinhill_assigner::{ConfigError, ServiceConfig, StatusFile};
 use whinhill_proxy::{Dial, Pick, PoolLimits, Proxy, ProxyConfig, Sabotage};
 use whinhill_standins::running::ProxyFigures;
 use whinhill_transport::{Drivers, Limits, Workers};
@@ -92,11 +92,11 @@
 
 impl ProxyFile {
     /// Returns all errors of the configuration.
-    pub fn check(&self) -> Vec<Fault> {
+    pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         let mut require = |valid: bool, path: &str, message: &str| {
             if !valid {
-                errors.push(Fault { path: path.to_string(), what: message.to_string() });
+                errors.push(ConfigError { path: path.to_string(), message: message.to_string() });
             }
         };
         require(!self.id.is_empty() && self.id.len() <= 200, "id", "expected 1 to 200 bytes");
@@ -143,7 +143,7 @@
 
 /// Runs the proxy until SIGTERM or SIGINT.
 pub fn run(path: &Path, ready_file: Option<&Path>) -> Result<(), CommandError> {
-    let file: ProxyFile = config::read_file(path, ProxyFile::check)?;
+    let file: ProxyFile = config::read_file(path, ProxyFile::validate)?;
     let stop = lifecycle::stop_on_signal()?;
     let drivers = Drivers::start(&file.id, file.drivers).map_err(CommandError::runtime)?;
     let workers = Workers::new("rpc", file.in_hand_most, whinhill_transport::CALL_STACK);
@@ -151,7 +151,7 @@
         id: file.id,
         zone: file.zone,
         listen: file.listen,
-        service: Arc::new(file.service.service()),
+        service: Arc::new(file.service.to_service()),
         assigners: file.assigners.into_iter().map(|assigner| (assigner.name, assigner.addr)).collect(),
         variant: if file.state_of_the_world { Variant::StateOfTheWorld } else { Variant::Incremental },
         settle: Duration::from_millis(file.service.settle_ms),
--- a/crates/whinhill-cli/src/reports.rs
+++ b/crates/whinhill-cli/src/reports.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use clap::{Args, Subcommand};
-use whinhill_assigner::{Answer, Ask, ReportsAnswer};
+use whinhill_assigner::{LoadReportStatus, OperatorRequest, OperatorResponse};
 use whinhill_transport::Drivers;
 
 use crate::CommandError;
@@ -43,20 +43,21 @@
         ReportsCommand::Show { at, most, json } => (at, most, json),
     };
     let drivers = Drivers::start("reports", 1).map_err(CommandError::runtime)?;
-    let answer = whinhill_assigner::ask(at, &Ask::Reports, &drivers).map_err(CommandError::runtime)?;
+    let answer = whinhill_assigner::send_request(at, &OperatorRequest::Reports, &drivers)
+        .map_err(CommandError::runtime)?;
     match answer {
-        Answer::Reports(answer) if json => {
+        OperatorResponse::Reports(answer) if json => {
             println!("{}", serde_json::to_string(&answer).map_err(CommandError::runtime)?);
         }
-        Answer::Reports(answer) => print_status(&answer, most),
-        Answer::Refused(why) => return Err(CommandError::Runtime(why)),
+        OperatorResponse::Reports(answer) => print_status(&answer, most),
+        OperatorResponse::Refused(why) => return Err(CommandError::Runtime(why)),
         other => return Err(CommandError::Runtime(format!("unexpected answer: {other:?}"))),
     }
     Ok(())
 }
 
 /// Prints the state of load reports, and at most `most` proxies.
-fn print_status(status: &ReportsAnswer, most: usize) {
+fn print_status(status: &LoadReportStatus, most: usize) {
     let coverage_note = if status.blind { "; too little to decide on" } else { "" };
     println!("reported: {:.1}% of the expected load{coverage_note}", status.heard * 100.0);
     println!("lag of proxies: median {} ms, max {} ms", status.lag_ms_middle, status.lag_ms_most);
--- a/crates/whinhill-cli/src/reports/baseline.rs
+++ b/crates/whinhill-cli/src/reports/baseline.rs
@@ -11,7 +11,7 @@
 use whinhill_xds::mapping::{server_name, Service};
 use whinhill_xds::proto;
 
-use whinhill_assigner::Names;
+use whinhill_assigner::NameIndex;
 
 /// Tries that are not yet output.
 #[derive(Clone, Debug, Default)]
@@ -76,7 +76,7 @@
         zone: ZoneId,
         report: &proto::LoadStatsRequest,
         service: &Service,
-        names: &Names,
+        names: &NameIndex,
     ) -> usize {
         let mut unresolved = 0;
         for cluster in &report.cluster_stats {
@@ -106,7 +106,7 @@
                 cluster.upstream_locality_stats.iter().flat_map(|locality| &locality.upstream_endpoint_stats);
             for server in servers.filter(|server| server.total_issued_requests > 0) {
                 let name = server.address.as_ref().and_then(server_name);
-                let Some(server_index) = name.and_then(|name| names.known(&name)) else {
+                let Some(server_index) = name.and_then(|name| names.known_index(&name)) else {
                     unresolved += 1;
                     continue;
                 };
@@ -124,7 +124,7 @@
     pub fn output_due(
         &mut self,
         now: Duration,
-        names: &Names,
+        names: &NameIndex,
         endpoint: impl Fn(usize) -> EndpointId,
     ) -> Vec<Event> {
         if now < self.next_output {
@@ -144,7 +144,7 @@
                     Event::Demand { slice, method, rpcs: sum.tries, lost: sum.lost.min(sum.tries), interval }
                 }
                 Key::Server { server, zone } => {
-                    debug_assert!(server < names.servers());
+                    debug_assert!(server < names.server_count());
                     Event::TryReport {
                         endpoint: endpoint(server),
                         zone,
--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -20,7 +20,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use whinhill::interface::{EndpointId, Event};
-use whinhill_assigner::{event, process_figures_of, read_report, Names};
+use whinhill_assigner::{process_cpu_and_memory, read_report, to_event, NameIndex};
 use whinhill_reports::{Key, Limits as IntakeLimits, ReportAggregator, ReportingState};
 use whinhill_transport::{
     Client, Code, Drivers, Limits, Listener, MessageWriter, PendingAnswer, ServerCall, Trailers, Workers,
@@ -489,11 +489,11 @@
     stop: &AtomicBool,
 ) -> Result<IntakeResults, CommandError> {
     let settings = fleet.settings;
-    let mut names = Names::new(&[]);
+    let mut names = NameIndex::new(&[]);
     for server in 0..settings.servers {
         names.endpoint(&server_name(server));
     }
-    let zone = names.zone("z");
+    let zone = names.zone_id("z");
     let limits = IntakeLimits {
         period: settings.period,
         lines_per_s: settings.lines_per_s,
@@ -540,7 +540,7 @@
         let lines = aggregator.output_due_lines(now);
         results.busy += began.elapsed();
         let period = (now.as_nanos() / settings.period.as_nanos()) as u64;
-        let events: Vec<Event> = lines.iter().map(|line| event(line, endpoint)).collect();
+        let events: Vec<Event> = lines.iter().map(|line| to_event(line, endpoint)).collect();
         if !events.is_empty() {
             current_view.update(now, &events, &fleet.true_shares, period, settings.rate);
         }
@@ -580,7 +580,7 @@
     let listener = start_listener(&drivers, &workers, event_sender).map_err(CommandError::runtime)?;
     let start = Instant::now();
     let (stop, memory_kb) = (AtomicBool::new(false), AtomicU64::new(0));
-    let cpu_ms_before = process_figures_of("self").0;
+    let cpu_ms_before = process_cpu_and_memory("self").0;
     let groups: Vec<Vec<usize>> =
         (0..8).map(|group| (0..args.proxies).filter(|proxy| proxy % 8 == group).collect()).collect();
     let results = thread::scope(|scope| {
@@ -591,13 +591,13 @@
             .collect();
         let mut result = Ok(());
         for proxy_thread in proxy_threads {
-            memory_kb.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
+            memory_kb.fetch_max(process_cpu_and_memory("self").1, Ordering::Relaxed);
             let ended = proxy_thread
                 .join()
                 .unwrap_or_else(|_| Err(CommandError::Runtime("a proxy thread panicked".into())));
             result = result.and(ended);
         }
-        memory_kb.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
+        memory_kb.fetch_max(process_cpu_and_memory("self").1, Ordering::Relaxed);
         // Reports in transit arrive within a period or two.
         thread::sleep(fleet.settings.period * 3);
         stop.store(true, Ordering::Relaxed);
@@ -607,7 +607,7 @@
         result.and(intakes)
     })?;
     let elapsed_s = start.elapsed().as_secs_f64();
-    let cpu_s = process_figures_of("self").0.saturating_sub(cpu_ms_before) as f64 / 1e3;
+    let cpu_s = process_cpu_and_memory("self").0.saturating_sub(cpu_ms_before) as f64 / 1e3;
     let report = SoakReport {
         proxies: args.proxies,
         servers: args.servers,
--- a/crates/whinhill-cli/src/standin.rs
+++ b/crates/whinhill-cli/src/standin.rs
@@ -52,7 +52,7 @@
             lifecycle::wait_until_stopped(&stop);
         }
         StandinCommand::Server { day, listen, cold, ready_file } => {
-            let day: Day = config::read_file(&day, Day::check)?;
+            let day: Day = config::read_file(&day, Day::validate)?;
             let config = ServerConfig {
                 listen,
                 cores: day.servers.cores,
@@ -62,7 +62,7 @@
                 warm_after: Duration::from_millis(day.rules.warm_after_ms),
                 queue_most: day.servers.queue,
                 work: day.load.mix.iter().map(|mix| mix.work_ms / 1e3).collect(),
-                service: Arc::new(day.service.service()),
+                service: Arc::new(day.service.to_service()),
                 seed: day.seed,
             };
             let server =
--- a/crates/whinhill-cli/src/table.rs
+++ b/crates/whinhill-cli/src/table.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use serde::Serialize;
-use whinhill_assigner::{Answer, Ask, Target};
+use whinhill_assigner::{OperatorRequest, OperatorResponse, VersionSelector};
 use whinhill_tables::{Author, SliceTable};
 use whinhill_transport::Drivers;
 
@@ -45,7 +45,7 @@
         operator: OperatorArgs,
         /// A number, `current`, `last-good`, or `@` and milliseconds of Unix time.
         #[arg(default_value = "current", value_parser = parse_version)]
-        version: Target,
+        version: VersionSelector,
         /// Only these slices.
         #[arg(long, value_delimiter = ',')]
         slices: Vec<usize>,
@@ -55,23 +55,23 @@
         #[command(flatten)]
         operator: OperatorArgs,
         #[arg(value_parser = parse_version)]
-        from: Target,
+        from: VersionSelector,
         #[arg(default_value = "current", value_parser = parse_version)]
-        to: Target,
+        to: VersionSelector,
     },
     /// Mark a version as good, which keeps it whatever its age.
     PinGood {
         #[command(flatten)]
         operator: OperatorArgs,
         #[arg(default_value = "current", value_parser = parse_version)]
-        version: Target,
+        version: VersionSelector,
     },
     /// Move slices back to their owners of a version, with ordinary handovers.
     Rollback {
         #[command(flatten)]
         operator: OperatorArgs,
         #[arg(value_parser = parse_version)]
-        to: Target,
+        to: VersionSelector,
         /// Only these slices.
         #[arg(long, value_delimiter = ',')]
         slices: Vec<usize>,
@@ -100,15 +100,15 @@
 }
 
 /// Parses the name of a version: a number, `current`, `last-good`, or `@` and milliseconds of Unix time.
-fn parse_version(text: &str) -> Result<Target, String> {
+fn parse_version(text: &str) -> Result<VersionSelector, String> {
     match text {
-        "current" => Ok(Target::Current),
-        "last-good" => Ok(Target::LastGood),
+        "current" => Ok(VersionSelector::Current),
+        "last-good" => Ok(VersionSelector::LastGood),
         _ => {
             let number = |text: &str| text.parse::<u64>().ok();
             let selector = match text.strip_prefix('@') {
-                Some(time) => number(time).map(Target::UnixMs),
-                None => number(text).map(Target::Version),
+                Some(time) => number(time).map(VersionSelector::UnixMs),
+                None => number(text).map(VersionSelector::Version),
             };
             selector.ok_or_else(|| "expected a number, `current`, `last-good` or `@UNIX_MS`".to_string())
         }
@@ -123,22 +123,32 @@
 /// Runs a sub-command of `whinhill table`.
 pub fn run(args: TableArgs) -> Result<(), CommandError> {
     let (operator, request) = match args.command {
-        TableCommand::History { operator, most } => (operator, Ask::History { most }),
+        TableCommand::History { operator, most } => (operator, OperatorRequest::History { most }),
         TableCommand::Show { operator, version, slices } => {
-            (operator, Ask::Show { version, slices: slice_filter(slices) })
+            (operator, OperatorRequest::Show { version, slices: slice_filter(slices) })
         }
-        TableCommand::Diff { operator, from, to } => (operator, Ask::Diff { from, to }),
-        TableCommand::PinGood { operator, version } => (operator, Ask::PinGood { version }),
+        TableCommand::Diff { operator, from, to } => (operator, OperatorRequest::Diff { from, to }),
+        TableCommand::PinGood { operator, version } => (operator, OperatorRequest::PinGood { version }),
         TableCommand::Rollback { operator, to, slices, by, dry_run, within_s } => {
             let slices = slice_filter(slices);
-            (operator, Ask::Rollback { to, slices, by, dry_run, within_ms: within_s.saturating_mul(1000) })
+            (
+                operator,
+                OperatorRequest::Rollback {
+                    to,
+                    slices,
+                    by,
+                    dry_run,
+                    within_ms: within_s.saturating_mul(1000),
+                },
+            )
         }
-        TableCommand::Rollbacks { operator } => (operator, Ask::Rollbacks),
-        TableCommand::Proxies { operator } => (operator, Ask::Proxies),
+        TableCommand::Rollbacks { operator } => (operator, OperatorRequest::Rollbacks),
+        TableCommand::Proxies { operator } => (operator, OperatorRequest::Proxies),
         TableCommand::Soak(args) => return table_soak::run(&args),
     };
     let drivers = Drivers::start("operator", 1).map_err(CommandError::runtime)?;
-    let answer = whinhill_assigner::ask(operator.at, &request, &drivers).map_err(CommandError::runtime)?;
+    let answer =
+        whinhill_assigner::send_request(operator.at, &request, &drivers).map_err(CommandError::runtime)?;
     if operator.json {
         return print_json(&answer);
     }
@@ -170,9 +180,9 @@
 }
 
 /// Prints an answer for people.
-fn print_answer(answer: Answer) {
+fn print_answer(answer: OperatorResponse) {
     match answer {
-        Answer::History { current, compacted, versions } => {
+        OperatorResponse::History { current, compacted, versions } => {
             println!("current {current}, {compacted} older versions compacted");
             for version in versions {
                 let good = if version.good { " good" } else { "" };
@@ -183,11 +193,11 @@
                 );
             }
         }
-        Answer::Set { number, hash, slices } => {
+        OperatorResponse::Set { number, hash, slices } => {
             println!("version {number} {hash}");
             slices.iter().for_each(|(slice, table)| println!("{slice} {}", table_text(Some(table))));
         }
-        Answer::Diff { from, to, slices } => {
+        OperatorResponse::Diff { from, to, slices } => {
             println!("{} slices differ between {from} and {to}", slices.len());
             for line in slices {
                 println!(
@@ -198,8 +208,8 @@
                 );
             }
         }
-        Answer::Pinned { number } => println!("version {number} is marked good"),
-        Answer::Plan { id, to, slices, levels_left } => {
+        OperatorResponse::Pinned { number } => println!("version {number} is marked good"),
+        OperatorResponse::Plan { id, to, slices, levels_left } => {
             match id {
                 Some(id) => println!("rollback {id} to version {to} started"),
                 None => println!("dry run of a rollback to version {to}"),
@@ -217,7 +227,7 @@
                 count("refused")
             );
         }
-        Answer::Rollbacks(lines) => {
+        OperatorResponse::Rollbacks(lines) => {
             for rollback in lines {
                 let (progress, state) =
                     (rollback.progress, if rollback.finished { "ended" } else { "in progress" });
@@ -234,7 +244,7 @@
                 rollback.abandoned.iter().for_each(|(slice, why)| println!("  {slice}: {why}"));
             }
         }
-        Answer::Proxies { current, proxies } => {
+        OperatorResponse::Proxies { current, proxies } => {
             println!("current {current}");
             for proxy in proxies {
                 let acked = proxy.acked.map_or("nothing".to_string(), |acked| acked.to_string());
@@ -245,7 +255,7 @@
             }
         }
         // Only `whinhill reports` requests this.
-        Answer::Reports(answer) => println!("{} reports", answer.reports),
-        Answer::Refused(why) => println!("{why}"),
+        OperatorResponse::Reports(answer) => println!("{} reports", answer.reports),
+        OperatorResponse::Refused(why) => println!("{why}"),
     }
 }
--- a/crates/whinhill-cli/src/table_soak.rs
+++ b/crates/whinhill-cli/src/table_soak.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use whinhill::interface::{EndpointId, Order};
-use whinhill_assigner::{Batch, Chronicle, HistoryFile, Kept};
+use whinhill_assigner::{HistoryFile, HistoryRecorder, PersistedUpdate, RecordedBatch};
 use whinhill_history::HistoryDbError;
 use whinhill_tables::rollback::{Rollback, ServerStatus, ServerView};
 use whinhill_tables::{
@@ -122,7 +122,7 @@
     /// `None` between a crash and the restart: the old handle must be closed before the file is opened again.
     file: Option<HistoryFile>,
     publisher: TablePublisher,
-    history_recorder: Chronicle,
+    history_recorder: HistoryRecorder,
     proxies: Vec<Proxy>,
     /// The shared store, by slice.
     store: Vec<StoredSlice>,
@@ -170,7 +170,13 @@
             path,
             file: Some(file),
             publisher: new_publisher(args.slices),
-            history_recorder: Chronicle::new(history, rollbacks, MAX_OWNER_WITHHOLDING, Duration::ZERO, 0),
+            history_recorder: HistoryRecorder::new(
+                history,
+                rollbacks,
+                MAX_OWNER_WITHHOLDING,
+                Duration::ZERO,
+                0,
+            ),
             proxies: (0..args.proxies).map(|_| Proxy { needs_full_set: true, ..Proxy::default() }).collect(),
             store: (0..args.slices).map(stored).collect(),
             owner_terms: vec![BTreeMap::new(); args.slices],
@@ -201,14 +207,21 @@
     /// Records a batch of changes and usually persists it.
     fn record(
         &mut self,
-        touched: BTreeSet<usize>,
+        changed_slices: BTreeSet<usize>,
         granted: BTreeSet<usize>,
         cause: Option<&str>,
     ) -> Result<(), Box<dyn std::error::Error>> {
         let (now, unix_ms) = (Duration::from_secs(self.step), self.step * 1000);
         let published = self.publisher.published();
         let cause = cause.map(str::to_string);
-        self.history_recorder.record(Batch { now, unix_ms, published, touched, granted, cause });
+        self.history_recorder.record(RecordedBatch {
+            now,
+            unix_ms,
+            published,
+            changed_slices,
+            granted,
+            cause,
+        });
         // A skipped write stands for a slow disk: updates accumulate and withheld versions are not published.
         if self.rng.random_bool(0.8) {
             self.persist()?;
@@ -219,11 +232,11 @@
     /// Writes pending updates to the file, then publishes what is no longer withheld.
     fn persist(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         let Some(file) = &mut self.file else { return Ok(()) };
-        self.history_recorder.take_page().into_iter().for_each(|page| file.put(page));
-        match file.keep() {
+        self.history_recorder.take_update().into_iter().for_each(|page| file.put(page));
+        match file.persist_pending() {
             Ok(None) => {}
-            Ok(Some(Kept { seq, version })) => {
-                self.history_recorder.kept(seq);
+            Ok(Some(PersistedUpdate { seq, version })) => {
+                self.history_recorder.on_persisted(seq);
                 self.figures.versions = version;
             }
             Err(error) if error.is_transient() => self.figures.refused_by_disk += 1,
@@ -237,7 +250,7 @@
     fn persist_all(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         for _ in 0..MAX_DISK_REFUSALS {
             self.persist()?;
-            if self.file.as_ref().is_none_or(|file| !file.has_waiting()) {
+            if self.file.as_ref().is_none_or(|file| !file.has_pending()) {
                 return Ok(());
             }
         }
@@ -246,7 +259,7 @@
 
     /// Publishes the newest version once none of it is withheld; proxies at the same version share one delta.
     fn publish(&mut self) {
-        if self.history_recorder.held_back() > 0 {
+        if self.history_recorder.withheld_count() > 0 {
             return;
         }
         let current = self.history_recorder.history().current().clone();
@@ -382,11 +395,11 @@
         let view = ClusterView { handovers: &self.handovers, unhealthy_server: self.unhealthy_server };
         let plan = self.history_recorder.dry_run(to, self.publisher.published(), Some(&slices), &view)?;
         let (now, within) = (Duration::from_secs(self.step), Duration::from_secs(ROLLBACK_STEPS));
-        if self.history_recorder.roll_back(to, "soak", &plan, now, within).is_ok() {
+        if self.history_recorder.start_rollback(to, "soak", &plan, now, within).is_ok() {
             self.figures.rollbacks += 1;
         }
         if self.rng.random_bool(0.2) {
-            self.history_recorder.pin_good(to);
+            self.history_recorder.mark_good(to);
         }
         self.persist()
     }
@@ -408,7 +421,7 @@
         self.figures.lost_versions += u64::from(history.current().id().number < self.figures.versions);
         let (now, unix_ms) = (Duration::from_secs(self.step), self.step * 1000);
         (self.file, self.history_recorder) =
-            (Some(file), Chronicle::new(history, rollbacks, MAX_OWNER_WITHHOLDING, now, unix_ms));
+            (Some(file), HistoryRecorder::new(history, rollbacks, MAX_OWNER_WITHHOLDING, now, unix_ms));
         for proxy in &mut self.proxies {
             proxy.in_transit.clear();
             // Its stream broke: it states the version that it holds and gets deltas from there, or the full set.
@@ -449,11 +462,12 @@
     /// Regular activity of every step: grants, rollbacks, writes and deliveries.
     fn advance(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         self.figures.told_unkept +=
-            self.history_recorder.overdue(Duration::from_secs(self.step)).len() as u64;
+            self.history_recorder.release_overdue(Duration::from_secs(self.step)).len() as u64;
         self.grant_ready()?;
         let view = ClusterView { handovers: &self.handovers, unhealthy_server: self.unhealthy_server };
         let now = Duration::from_secs(self.step);
-        let (requested_moves, _) = self.history_recorder.look(now, self.publisher.published(), &view);
+        let (requested_moves, _) =
+            self.history_recorder.evaluate_rollbacks(now, self.publisher.published(), &view);
         for (slice, to) in requested_moves {
             // A move that is not made stands for a server without spare capacity.
             if self.rng.random_bool(0.7) {
--- a/crates/whinhill-standins/src/day.rs
+++ b/crates/whinhill-standins/src/day.rs
@@ -5,7 +5,7 @@
 use crate::hops::{Hop, LinkFault, Selection};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use whinhill_assigner::{ChannelConfig, CustodySettings, Fault, RulesConfig, ServiceConfig};
+use whinhill_assigner::{ChannelConfig, ConfigError, CustodySettings, RulesConfig, ServiceConfig};
 
 /// A scripted day.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -215,11 +215,11 @@
 
 impl Day {
     /// Checks the script as a whole. Returns all errors that it finds.
-    pub fn check(&self) -> Vec<Fault> {
-        let mut faults = Vec::new();
+    pub fn validate(&self) -> Vec<ConfigError> {
+        let mut errors = Vec::new();
         let mut must = |holds: bool, path: String, what: &str| {
             if !holds {
-                faults.push(Fault { path, what: what.to_string() });
+                errors.push(ConfigError { path, message: what.to_string() });
             }
         };
         must(
@@ -296,7 +296,7 @@
                 );
             }
         }
-        faults
+        errors
     }
 
     /// The number of parts at the near and at the far end of a hop.
--- a/crates/whinhill-standins/src/from_bench.rs
+++ b/crates/whinhill-standins/src/from_bench.rs
@@ -265,7 +265,7 @@
     #[test]
     fn faults_keep_kind_size_and_time_and_unsupported_kinds_are_listed() {
         let (day, unsupported) = from_bench(DAY).unwrap();
-        assert_eq!((day.check().len(), unsupported), (0, vec!["moonrise".to_string()]));
+        assert_eq!((day.validate().len(), unsupported), (0, vec!["moonrise".to_string()]));
         assert_eq!((day.assigners, day.servers.count, day.service.slices), (2, 12, 60));
         let at: Vec<f64> = day.faults.iter().map(|fault| fault.at_s).collect();
         assert_eq!(at, [2.0, 4.0, 5.0]);
--- a/crates/whinhill-standins/src/play/fleet.rs
+++ b/crates/whinhill-standins/src/play/fleet.rs
@@ -59,7 +59,7 @@
     /// Starts everything and waits until the proxies hold all tables. Files go to `out`.
     pub(super) fn start(day: &'a Day, program: &'a Path, out: &Path) -> Result<Self, PlayError> {
         fs::create_dir_all(out).map_err(io_at("the output folder"))?;
-        let service = Arc::new(day.service.service());
+        let service = Arc::new(day.service.to_service());
         let recorder = Recorder::default();
         let drivers = Drivers::start("day", DRIVER_THREADS).map_err(io_at("driver threads"))?;
         let workers = Workers::new("day", MAX_WORKER_THREADS, whinhill_transport::CALL_STACK);
--- a/crates/whinhill-standins/src/play/rollbacks.rs
+++ b/crates/whinhill-standins/src/play/rollbacks.rs
@@ -9,7 +9,7 @@
 
 use serde::Serialize;
 use tracing::{info, warn};
-use whinhill_assigner::{Answer, Ask, Target};
+use whinhill_assigner::{OperatorRequest, OperatorResponse, VersionSelector};
 use whinhill_transport::Drivers;
 
 use super::assigners::AssignerSlot;
@@ -42,16 +42,16 @@
         let then = SystemTime::now().checked_sub(ago).and_then(|then| then.duration_since(UNIX_EPOCH).ok());
         let unix_ms = then.map_or(0, |then| then.as_millis() as u64);
         for slot in &self.assigners {
-            let request = Ask::Rollback {
-                to: Target::UnixMs(unix_ms),
+            let request = OperatorRequest::Rollback {
+                to: VersionSelector::UnixMs(unix_ms),
                 slices: None,
                 by: "the day's script".into(),
                 dry_run: false,
                 within_ms: ROLLBACK_TIMEOUT.as_millis() as u64,
             };
             let Some(addr) = operator_addr(&slot.operators_file()) else { continue };
-            match whinhill_assigner::ask(addr, &request, &self.drivers) {
-                Ok(Answer::Plan { id, to, slices, .. }) => {
+            match whinhill_assigner::send_request(addr, &request, &self.drivers) {
+                Ok(OperatorResponse::Plan { id, to, slices, .. }) => {
                     let moves = slices.iter().filter(|line| line.verdict == "moves").count();
                     info!(name = %slot.name, ?id, to, moves, "rollback started");
                 }
@@ -91,7 +91,8 @@
         let mut sum = Rollbacks { took_ms, ..Rollbacks::default() };
         for slot in &self.assigners {
             let Some(addr) = operator_addr(&slot.operators_file()) else { continue };
-            let Ok(Answer::Rollbacks(lines)) = whinhill_assigner::ask(addr, &Ask::Rollbacks, &self.drivers)
+            let Ok(OperatorResponse::Rollbacks(lines)) =
+                whinhill_assigner::send_request(addr, &OperatorRequest::Rollbacks, &self.drivers)
             else {
                 continue;
             };
@@ -109,13 +110,13 @@
 /// Whether all rollbacks of an assigner have ended and no proxy is behind. False for an assigner that is down.
 fn all_rollbacks_done(path: &Path, drivers: &Drivers) -> bool {
     let Some(addr) = operator_addr(path) else { return false };
-    let ended = match whinhill_assigner::ask(addr, &Ask::Rollbacks, drivers) {
-        Ok(Answer::Rollbacks(lines)) => lines.iter().all(|line| line.finished),
+    let ended = match whinhill_assigner::send_request(addr, &OperatorRequest::Rollbacks, drivers) {
+        Ok(OperatorResponse::Rollbacks(lines)) => lines.iter().all(|line| line.finished),
         _ => false,
     };
     ended
-        && match whinhill_assigner::ask(addr, &Ask::Proxies, drivers) {
-            Ok(Answer::Proxies { proxies, .. }) => proxies.iter().all(|proxy| proxy.behind == 0),
+        && match whinhill_assigner::send_request(addr, &OperatorRequest::Proxies, drivers) {
+            Ok(OperatorResponse::Proxies { proxies, .. }) => proxies.iter().all(|proxy| proxy.behind == 0),
             _ => false,
         }
 }
