--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -20,13 +20,13 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use whinhill::interface::{EndpointId, Event};
-use whinhill_assigner::{event, process_figures_of, read_report, Names};
+use whinhill_assigner::{process_cpu_and_memory, read_report, to_event, NameIndex};
 use whinhill_reports::{Key, Limits as IntakeLimits, ReportAggregator, ReportingState};
 use whinhill_transport::{
     Client, Code, Drivers, Limits, Listener, MessageWriter, PendingAnswer, ServerCall, Trailers, Workers,
 };
-use whinhill_xds::mapping::{address, Effect, Method, Service};
-use whinhill_xds::proto::{self, span};
+use whinhill_xds::mapping::{server_address, Effect, Method, Service};
+use whinhill_xds::proto::{self, to_proto_duration};
 use whinhill_xds::LRS_PATH;
 
 use super::baseline::BaselineIntake;
@@ -190,7 +190,7 @@
             slices: args.slices,
             methods: vec![method],
             write_lease: Duration::from_secs(2),
-            hold: Duration::from_millis(300),
+            max_owner_wait: Duration::from_millis(300),
             try_factor: 1.0,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
@@ -246,7 +246,7 @@
     /// The statistics of one slice and server in a report.
     fn cluster(&self, slice: usize, server: &str, tries: u64, interval: Duration) -> proto::ClusterStats {
         let endpoint = proto::UpstreamEndpointStats {
-            address: Some(address(server)),
+            address: Some(server_address(server)),
             total_issued_requests: tries,
             total_successful_requests: tries,
             load_metric_stats: vec![proto::EndpointLoadMetricStats {
@@ -264,7 +264,7 @@
                 total_successful_requests: tries,
                 ..Default::default()
             }],
-            load_report_interval: Some(span(interval)),
+            load_report_interval: Some(to_proto_duration(interval)),
             ..Default::default()
         }
     }
@@ -344,10 +344,10 @@
         let _ = events.send(StreamEvent::Closed(proxy));
         let _ = writer.close(Code::Ok, "", Trailers::new());
     };
-    let limits = Limits { message_most: 16 << 20, ..Limits::default() };
+    let limits = Limits { max_message: 16 << 20, ..Limits::default() };
     Listener::start("soak", ([127, 0, 0, 1], 0).into(), limits, drivers, move |call| {
         let events = events.clone();
-        workers.hand(call, move |call| serve(call, events), |call| call.refuse_unseen());
+        workers.run_with(call, move |call| serve(call, events), |call| call.refuse_stream());
     })
 }
 
@@ -360,7 +360,7 @@
     start: Instant,
 ) -> Result<(), CommandError> {
     let timeout = Duration::from_secs(10);
-    let limits = Limits { message_most: 16 << 20, ..Limits::default() };
+    let limits = Limits { max_message: 16 << 20, ..Limits::default() };
     let client = Client::connect(addr, limits, drivers).map_err(CommandError::runtime)?;
     // The pending answer is kept with its stream: dropping it cancels the call.
     let open = |proxy: usize| -> Result<(MessageWriter, PendingAnswer), CommandError> {
@@ -489,11 +489,11 @@
     stop: &AtomicBool,
 ) -> Result<IntakeResults, CommandError> {
     let settings = fleet.settings;
-    let mut names = Names::new(&[]);
+    let mut names = NameIndex::new(&[]);
     for server in 0..settings.servers {
         names.endpoint(&server_name(server));
     }
-    let zone = names.zone("z");
+    let zone = names.zone_id("z");
     let limits = IntakeLimits {
         period: settings.period,
         lines_per_s: settings.lines_per_s,
@@ -540,7 +540,7 @@
         let lines = aggregator.output_due_lines(now);
         results.busy += began.elapsed();
         let period = (now.as_nanos() / settings.period.as_nanos()) as u64;
-        let events: Vec<Event> = lines.iter().map(|line| event(line, endpoint)).collect();
+        let events: Vec<Event> = lines.iter().map(|line| to_event(line, endpoint)).collect();
         if !events.is_empty() {
             current_view.update(now, &events, &fleet.true_shares, period, settings.rate);
         }
@@ -580,7 +580,7 @@
     let listener = start_listener(&drivers, &workers, event_sender).map_err(CommandError::runtime)?;
     let start = Instant::now();
     let (stop, memory_kb) = (AtomicBool::new(false), AtomicU64::new(0));
-    let cpu_ms_before = process_figures_of("self").0;
+    let cpu_ms_before = process_cpu_and_memory("self").0;
     let groups: Vec<Vec<usize>> =
         (0..8).map(|group| (0..args.proxies).filter(|proxy| proxy % 8 == group).collect()).collect();
     let results = thread::scope(|scope| {
@@ -591,13 +591,13 @@
             .collect();
         let mut result = Ok(());
         for proxy_thread in proxy_threads {
-            memory_kb.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
+            memory_kb.fetch_max(process_cpu_and_memory("self").1, Ordering::Relaxed);
             let ended = proxy_thread
                 .join()
                 .unwrap_or_else(|_| Err(CommandError::Runtime("a proxy thread panicked".into())));
             result = result.and(ended);
         }
-        memory_kb.fetch_max(process_figures_of("self").1, Ordering::Relaxed);
+        memory_kb.fetch_max(process_cpu_and_memory("self").1, Ordering::Relaxed);
         // Reports in transit arrive within a period or two.
         thread::sleep(fleet.settings.period * 3);
         stop.store(true, Ordering::Relaxed);
@@ -607,7 +607,7 @@
         result.and(intakes)
     })?;
     let elapsed_s = start.elapsed().as_secs_f64();
-    let cpu_s = process_figures_of("self").0.saturating_sub(cpu_ms_before) as f64 / 1e3;
+    let cpu_s = process_cpu_and_memory("self").0.saturating_sub(cpu_ms_before) as f64 / 1e3;
     let report = SoakReport {
         proxies: args.proxies,
         servers: args.servers,
