--- a/crates/whinhill-cli/src/bench.rs
+++ b/crates/whinhill-cli/src/bench.rs
@@ -52,7 +52,7 @@
         BenchCommand::ServerView { file, out } => {
             let day: Day = config::read_file(&file, Day::validate)?;
             let out = out.unwrap_or_else(|| scratch.path().to_path_buf());
-            let figures = bench::fleet(&day, &program, &out).map_err(CommandError::runtime)?;
+            let figures = bench::measure_fleet(&day, &program, &out).map_err(CommandError::runtime)?;
             figures.iter().try_for_each(print_json)
         }
         BenchCommand::History { versions, slices, changes } => {
--- a/crates/whinhill-cli/src/bench_proxy.rs
+++ b/crates/whinhill-cli/src/bench_proxy.rs
@@ -9,9 +9,9 @@
 use serde::Serialize;
 use whinhill_assigner::process_cpu_and_memory;
 use whinhill_proxy::KEY_HEADER;
-use whinhill_standins::bench::closed_loop;
-use whinhill_standins::day::{Day, Proxies, RunAs, Speaks};
-use whinhill_standins::play::{with_fleet, Rig};
+use whinhill_standins::bench::measure_closed_loop;
+use whinhill_standins::day::{Day, ProtocolVariant, ProxySettings, RunAs};
+use whinhill_standins::day_run::{with_fleet, FleetHandle};
 use whinhill_transport::{Client, Drivers, Limits};
 
 use crate::load::{self, Added, LoadArgs, TargetFigures};
@@ -80,29 +80,35 @@
     day.service.slices = args.slices;
     // One proxy and one server, so that there is nothing to decide. The server's work is small, so that the cost of the
     // path through the proxy dominates.
-    day.proxies = Proxies { count: 1, speaks: Speaks::StateOfTheWorld };
+    day.proxies = ProxySettings { count: 1, speaks: ProtocolVariant::StateOfTheWorld };
     day.servers.count = 1;
     day.servers.cores = 64;
     day.servers.queue = 4096;
     day.load.mix.iter_mut().for_each(|mix| mix.work_ms = 0.001);
     day.run.proxies = RunAs::Processes;
     (day.links, day.link_delay_ms, day.faults) = (true, 0, Vec::new());
-    with_fleet(&day, program, out, |rig| measure_fleet(rig, args, &day)).map_err(CommandError::runtime)?
+    with_fleet(&day, program, out, |fleet| measure_fleet(fleet, args, &day)).map_err(CommandError::runtime)?
 }
 
 /// Measures the only proxy and server of a running fleet.
-fn measure_fleet(rig: &Rig<'_>, args: &ProxyBench, day: &Day) -> Result<ProxyBenchFigures, CommandError> {
+fn measure_fleet(
+    fleet: &FleetHandle<'_>,
+    args: &ProxyBench,
+    day: &Day,
+) -> Result<ProxyBenchFigures, CommandError> {
     let missing = || CommandError::Runtime("no proxy process or no server is running".into());
-    let (to, against) =
-        (*rig.proxies().first().ok_or_else(missing)?, *rig.servers().first().ok_or_else(missing)?);
-    let (pid, _) = rig.first_proxy().ok_or_else(missing)?;
+    let (to, against) = (
+        *fleet.proxy_addrs().first().ok_or_else(missing)?,
+        *fleet.server_addrs().first().ok_or_else(missing)?,
+    );
+    let (pid, _) = fleet.first_proxy_process().ok_or_else(missing)?;
     let process = pid.to_string();
     let path = day.service.methods[0].path.clone();
     let drivers = Drivers::start("bench", 2).map_err(CommandError::runtime)?;
     // Headers that the server expects and that a proxy would add.
     let proxy_headers = [("whinhill-slice", "0".to_string()), ("whinhill-epoch", "1".to_string())];
     let run_closed_loop = |name, addr, headers: &[(&'static str, String)]| {
-        closed_loop(name, addr, &path, headers, &drivers, args.callers, args.seconds)
+        measure_closed_loop(name, addr, &path, headers, &drivers, args.callers, args.seconds)
             .map_err(CommandError::runtime)
     };
     let direct = run_closed_loop("direct", against, &proxy_headers)?;
@@ -131,19 +137,19 @@
     // The processor time includes the second of warm-up. The proxy gets half of the RPCs.
     let rpcs = rate / 2.0 * (args.seconds + 1.0);
 
-    let reconnects_before = rig.first_proxy().map_or(0, |(_, figures)| figures.reconnects);
+    let reconnects_before = fleet.first_proxy_process().map_or(0, |(_, figures)| figures.reconnects);
     let under_sets = thread::scope(|scope| {
         let load_thread = scope.spawn(|| load::measure(&load_args(args.seconds)));
         while !load_thread.is_finished() {
-            rig.break_streams();
+            fleet.break_table_streams();
             thread::sleep(Duration::from_millis(500));
         }
         load_thread.join().unwrap_or_else(|_| Err(CommandError::Runtime("the load thread panicked".into())))
     })?;
-    let (_, figures) = rig.first_proxy().ok_or_else(missing)?;
+    let (_, figures) = fleet.first_proxy_process().ok_or_else(missing)?;
 
     let (_, rest_kb) = process_cpu_and_memory(&process);
-    let open_kb = memory_with_open_rpcs(rig, to, &path, args.open, &drivers, &process)?;
+    let open_kb = memory_with_open_rpcs(fleet, to, &path, args.open, &drivers, &process)?;
     Ok(ProxyBenchFigures {
         slices: args.slices,
         carried_per_s: through_proxy.rpcs_per_s.round(),
@@ -166,14 +172,14 @@
 
 /// The largest resident memory of the proxy, in KiB, while `count` RPCs are open that the server doesn't answer.
 fn memory_with_open_rpcs(
-    rig: &Rig<'_>,
+    fleet: &FleetHandle<'_>,
     to: SocketAddr,
     path: &str,
     count: usize,
     drivers: &Drivers,
     process: &str,
 ) -> Result<u64, CommandError> {
-    rig.silence(true);
+    fleet.set_servers_silent(true);
     let timeout = Duration::from_secs(5);
     let clients: Vec<Client> = (0..count.div_ceil(200))
         .map(|_| Client::connect(to, Limits::default(), drivers).map_err(CommandError::runtime))
@@ -193,6 +199,6 @@
         max_kb = max_kb.max(process_cpu_and_memory(process).1);
         thread::sleep(Duration::from_millis(20));
     }
-    rig.silence(false);
+    fleet.set_servers_silent(false);
     Ok(max_kb)
 }
--- a/crates/whinhill-cli/src/day.rs
+++ b/crates/whinhill-cli/src/day.rs
@@ -5,8 +5,8 @@
 
 use clap::Subcommand;
 use whinhill_standins::day::Day;
-use whinhill_standins::from_bench::from_bench;
-use whinhill_standins::play::{play, Outcome};
+use whinhill_standins::day_run::{self, Outcome};
+use whinhill_standins::from_bench;
 
 use crate::{config, CommandError};
 
@@ -54,7 +54,7 @@
                 for outcome in outcomes {
                     let outcome = outcome?;
                     print_outcome(&outcome, json)?;
-                    if !outcome.kept() {
+                    if !outcome.passed() {
                         broken.push(outcome.seed);
                     }
                 }
@@ -74,8 +74,8 @@
             let shown_path = file.display();
             let text = fs::read_to_string(&file)
                 .map_err(|error| CommandError::Usage(format!("{shown_path}: {error}")))?;
-            let (day, unsupported) =
-                from_bench(&text).map_err(|error| CommandError::Usage(format!("{shown_path}: {error}")))?;
+            let (day, unsupported) = from_bench::convert(&text)
+                .map_err(|error| CommandError::Usage(format!("{shown_path}: {error}")))?;
             for kind in unsupported {
                 tracing::warn!(kind, "this kind of fault has no counterpart here and is skipped");
             }
@@ -95,7 +95,7 @@
         Some(out) => out.to_path_buf(),
         None => scratch.path().to_path_buf(),
     };
-    play(day, &program, &out).map_err(CommandError::runtime)
+    day_run::run_day(day, &program, &out).map_err(CommandError::runtime)
 }
 
 fn print_outcome(outcome: &Outcome, json: bool) -> Result<(), CommandError> {
--- a/crates/whinhill-cli/src/platform_soak.rs
+++ b/crates/whinhill-cli/src/platform_soak.rs
@@ -147,8 +147,8 @@
     let folder = parent.join(format!("whinhill-soak-{}-{seed}", std::process::id()));
     let options = Options {
         seed,
-        time: args.time,
-        only: args.fault.clone(),
+        duration: args.time,
+        troubles: args.fault.clone(),
         sabotage: args.sabotage,
         program: program.to_path_buf(),
         library: library.cloned(),
--- a/crates/whinhill-cli/src/proxy.rs
+++ b/crates/whinhill-cli/src/proxy.rs
@@ -8,7 +8,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use whinhill_assigner::{ConfigError, ServiceConfig, StatusFile};
-use whinhill_proxy::{Dial, Pick, PoolLimits, Proxy, ProxyConfig, Sabotage};
+use whinhill_proxy::{Dial, InjectedFaults, Pick, PoolLimits, Proxy, ProxyConfig};
 use whinhill_standins::running::ProxyFigures;
 use whinhill_transport::{Drivers, Limits, Workers};
 use whinhill_xds::Variant;
@@ -154,7 +154,7 @@
         service: Arc::new(file.service.to_service()),
         assigners: file.assigners.into_iter().map(|assigner| (assigner.name, assigner.addr)).collect(),
         variant: if file.state_of_the_world { Variant::StateOfTheWorld } else { Variant::Incremental },
-        settle: Duration::from_millis(file.service.settle_ms),
+        write_timeout: Duration::from_millis(file.service.settle_ms),
         limits: Limits {
             max_message: file.message_most,
             max_headers: file.headers_most,
@@ -162,10 +162,10 @@
         },
         seed: file.seed,
         dial: Dial::default(),
-        pool: file.pool,
-        body_most: file.body_most,
+        pool_limits: file.pool,
+        max_body_bytes: file.body_most,
         pick: file.pick,
-        sabotage: Sabotage::default(),
+        injected_faults: InjectedFaults::default(),
     };
     let mut proxy = Proxy::start(config, &drivers, &workers).map_err(CommandError::runtime)?;
     if let Some(addr) = proxy.addr() {
--- a/crates/whinhill-cli/src/standin.rs
+++ b/crates/whinhill-cli/src/standin.rs
@@ -7,8 +7,8 @@
 
 use clap::Subcommand;
 use whinhill_standins::day::Day;
-use whinhill_standins::record::Recorder;
-use whinhill_standins::server::{Server, ServerConfig};
+use whinhill_standins::recorder::Recorder;
+use whinhill_standins::server::{ServerConfig, ServerStandIn};
 use whinhill_standins::store::StoreStandIn;
 use whinhill_transport::Workers;
 
@@ -58,16 +58,19 @@
                 cores: day.servers.cores,
                 speed: (day.servers.speed[0] + day.servers.speed[1]) / 2.0,
                 cold,
-                cold_from: day.rules.cold_from,
-                warm_after: Duration::from_millis(day.rules.warm_after_ms),
-                queue_most: day.servers.queue,
-                work: day.load.mix.iter().map(|mix| mix.work_ms / 1e3).collect(),
+                cold_capacity: day.rules.cold_from,
+                warm_up: Duration::from_millis(day.rules.warm_after_ms),
+                max_queue: day.servers.queue,
+                mean_work: day.load.mix.iter().map(|mix| mix.work_ms / 1e3).collect(),
                 service: Arc::new(day.service.to_service()),
                 seed: day.seed,
             };
-            let server =
-                Server::start(config, &Workers::new("rpc", 1024, whinhill_transport::CALL_STACK), &record)
-                    .map_err(CommandError::runtime)?;
+            let server = ServerStandIn::start(
+                config,
+                &Workers::new("rpc", 1024, whinhill_transport::CALL_STACK),
+                &record,
+            )
+            .map_err(CommandError::runtime)?;
             let addr: SocketAddr = server
                 .name()
                 .parse()
--- a/crates/whinhill-cli/tests/ending.rs
+++ b/crates/whinhill-cli/tests/ending.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use rustix::process::Signal;
-use whinhill_standins::platform::clients::{Clients, Ending, Plan, Request, Tally};
+use whinhill_standins::platform::clients::{ClientPlan, Clients, Ending, Request, RequestCounts};
 
 use support::config::{config, write_config};
 use support::discovery::{list_json, server_json, Discovery};
@@ -38,11 +38,18 @@
 const ALIVE: &str = "{\"@type\":\"alive\"}\n";
 const ERROR: &str = "{\"@type\":\"error\"}\n";
 
-fn start_clients(addr: SocketAddr, clients: usize, never_look: usize, seed: u64) -> Clients {
-    let think_most = Duration::from_millis(50);
+fn start_clients(addr: SocketAddr, clients: usize, never_check: usize, seed: u64) -> Clients {
+    let max_think_time = Duration::from_millis(50);
     Clients::start(
         addr,
-        Plan { clients, never_look, half_close: 0, think_most, answer_within: ANSWER_TIMEOUT, seed },
+        ClientPlan {
+            clients,
+            never_check,
+            half_close: 0,
+            max_think_time,
+            answer_timeout: ANSWER_TIMEOUT,
+            seed,
+        },
     )
     .unwrap()
 }
@@ -77,8 +84,8 @@
     let required_until =
         until.saturating_duration_since(clients.started).saturating_sub(UNANSWERED_BEFORE_KILL);
     let (required, late): (Vec<Request>, Vec<Request>) =
-        clients.stop().into_iter().partition(|request| request.written <= required_until);
-    let connections: BTreeSet<_> = required.iter().map(|request| request.local).collect();
+        clients.stop().into_iter().partition(|request| request.written_at <= required_until);
+    let connections: BTreeSet<_> = required.iter().map(|request| request.local_addr).collect();
     let outcome = Outcome {
         required: required.len(),
         reconnected: connections.len().saturating_sub(count),
@@ -197,13 +204,13 @@
         assigner.signal(Signal::TERM);
         assigner.wait_for_exit();
         let shutdown_time = sigterm_at.elapsed();
-        let tally = Tally::of(&active_clients.stop());
-        println!("{clients} clients: exited after {shutdown_time:?}, {tally:?}");
+        let counts = RequestCounts::from_requests(&active_clients.stop());
+        println!("{clients} clients: exited after {shutdown_time:?}, {counts:?}");
         assert!(
             shutdown_time >= MIN_SERVING_TIME && shutdown_time < MAX_SHUTDOWN_TIME + MAX_EXIT_TIME,
             "{shutdown_time:?}"
         );
-        assert_eq!((tally.unanswered, tally.refused), (0, 0), "{tally:?}");
+        assert_eq!((counts.unanswered, counts.refused), (0, 0), "{counts:?}");
     }
 }
 
@@ -225,9 +232,9 @@
                 thread::sleep(Duration::from_millis(300));
                 assigner.signal(Signal::TERM);
                 assigner.wait_for_exit();
-                let tally = Tally::of(&active_clients.stop());
-                println!("{faults}: {tally:?}");
-                assert_eq!(tally.unanswered, 0, "{faults}: {tally:?}");
+                let counts = RequestCounts::from_requests(&active_clients.stop());
+                println!("{faults}: {counts:?}");
+                assert_eq!(counts.unanswered, 0, "{faults}: {counts:?}");
             });
         }
     });
--- a/crates/whinhill-cli/tests/open_connections.rs
+++ b/crates/whinhill-cli/tests/open_connections.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use whinhill_standins::platform::clients::{Clients, Plan, Request, Tally};
+use whinhill_standins::platform::clients::{ClientPlan, Clients, Request, RequestCounts};
 
 use support::config::{config, write_config};
 use support::running::AssignerProcess;
@@ -22,13 +22,13 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The plan of clients that check for a close of the connection before each request.
-fn plan(clients: usize, seed: u64) -> Plan {
-    Plan {
+fn plan(clients: usize, seed: u64) -> ClientPlan {
+    ClientPlan {
         clients,
-        never_look: 0,
+        never_check: 0,
         half_close: 0,
-        think_most: Duration::from_millis(50),
-        answer_within: ANSWER_TIMEOUT,
+        max_think_time: Duration::from_millis(50),
+        answer_timeout: ANSWER_TIMEOUT,
         seed,
     }
 }
@@ -65,8 +65,9 @@
         let kill = assigner.kill();
         let killed_at = kill.at - kill.starved_for - clients.started;
         let requests = clients.stop();
-        let (early, late): (Vec<Request>, Vec<Request>) =
-            requests.into_iter().partition(|request| request.written + UNANSWERED_BEFORE_KILL <= killed_at);
+        let (early, late): (Vec<Request>, Vec<Request>) = requests
+            .into_iter()
+            .partition(|request| request.written_at + UNANSWERED_BEFORE_KILL <= killed_at);
         println!("seed {seed}: {} requests, {} later ones unanswered", early.len(), unanswered(&late).len());
         assert!(early.len() > 100, "seed {seed}: {} requests", early.len());
         assert!(unanswered(&early).is_empty(), "seed {seed}: unanswered: {:#?}", unanswered(&early));
@@ -82,8 +83,8 @@
     let (_folder, path) = write_config(&config(unused_address(), unused_address()));
     for faults in schedules {
         let requests = run_clients(&path, faults, 40, Duration::from_secs(2));
-        println!("{faults}: {:?}", Tally::of(&requests));
-        assert!(unanswered(&requests).is_empty(), "{faults}: {:?}", Tally::of(&requests));
+        println!("{faults}: {:?}", RequestCounts::from_requests(&requests));
+        assert!(unanswered(&requests).is_empty(), "{faults}: {:?}", RequestCounts::from_requests(&requests));
     }
 }
 
@@ -99,12 +100,13 @@
     ];
     let (_folder, path) = write_config(&config(unused_address(), unused_address()));
     // The slowest answer without faults, on the machine as busy as it is now.
-    let slowest_without_faults = Tally::of(&run_clients(&path, "", 40, Duration::from_secs(2))).slowest;
+    let slowest_without_faults =
+        RequestCounts::from_requests(&run_clients(&path, "", 40, Duration::from_secs(2))).slowest;
     for (faults, max_delay_ms) in schedules {
         let requests = run_clients(&path, faults, 40, Duration::from_secs(2));
-        println!("{faults}: {:?}", Tally::of(&requests));
-        assert!(unanswered(&requests).is_empty(), "{faults}: {:?}", Tally::of(&requests));
-        let slowest = Tally::of(&requests).slowest;
+        println!("{faults}: {:?}", RequestCounts::from_requests(&requests));
+        assert!(unanswered(&requests).is_empty(), "{faults}: {:?}", RequestCounts::from_requests(&requests));
+        let slowest = RequestCounts::from_requests(&requests).slowest;
         assert!(
             slowest < slowest_without_faults + Duration::from_millis(max_delay_ms),
             "{faults}: {slowest:?}, without faults {slowest_without_faults:?}"
@@ -121,17 +123,17 @@
     let few_clients = Clients::start(addr, plan(60, 1)).unwrap();
     thread::sleep(Duration::from_secs(3));
     let requests = few_clients.stop();
-    let tally = Tally::of(&requests);
-    assert_eq!((tally.refused, tally.unanswered), (0, 0), "{tally:?}: {:#?}", unanswered(&requests));
+    let counts = RequestCounts::from_requests(&requests);
+    assert_eq!((counts.refused, counts.unanswered), (0, 0), "{counts:?}: {:#?}", unanswered(&requests));
     // Each client still used its first connection.
-    let connections: BTreeSet<_> = requests.iter().map(|request| request.local).collect();
+    let connections: BTreeSet<_> = requests.iter().map(|request| request.local_addr).collect();
     assert_eq!(connections.len(), 60);
     let many_clients = Clients::start(addr, plan(400, 2)).unwrap();
     thread::sleep(Duration::from_secs(3));
     let requests = many_clients.stop();
-    let tally = Tally::of(&requests);
-    assert!(unanswered(&requests).is_empty(), "{tally:?}: {:#?}", unanswered(&requests));
-    assert!(tally.slowest < Duration::from_secs(2), "{tally:?}");
+    let counts = RequestCounts::from_requests(&requests);
+    assert!(unanswered(&requests).is_empty(), "{counts:?}: {:#?}", unanswered(&requests));
+    assert!(counts.slowest < Duration::from_secs(2), "{counts:?}");
 }
 
 /// All places are taken and answers wait to be written: no connection may be closed before its answer has been sent.
@@ -139,5 +141,5 @@
 fn more_clients_than_places_are_answered_despite_blocked_writes() {
     let (_folder, path) = write_config(&config(unused_address(), unused_address()));
     let requests = run_clients(&path, "read=EAGAIN@0.5 write=EAGAIN@0.5", 300, Duration::from_secs(2));
-    assert!(unanswered(&requests).is_empty(), "{:?}", Tally::of(&requests));
+    assert!(unanswered(&requests).is_empty(), "{:?}", RequestCounts::from_requests(&requests));
 }
--- a/crates/whinhill-cli/tests/silent_links.rs
+++ b/crates/whinhill-cli/tests/silent_links.rs
@@ -64,9 +64,9 @@
 
 /// Closes the connections of a stalled link, and makes it forward again.
 fn restore(link: &Link) {
-    link.cut(true);
-    link.stall(Direction::Back, false);
-    link.cut(false);
+    link.set_down(true);
+    link.set_stalled(Direction::Back, false);
+    link.set_down(false);
 }
 
 /// Data sent by the assigner is lost for a while, and the watch stream goes on: the outcome of the call is unknown, and
@@ -80,10 +80,10 @@
     stand_ins.discovery.wait_for_watch();
     stand_ins.wait_for_relay_watch();
     assigner.wait_for_log("news of the relay stand");
-    link.stall(Direction::To, true);
+    link.set_stalled(Direction::To, true);
     stand_ins.discovery.send_list(&list_change());
     assigner.wait_for_log("a call's outcome is unknown");
-    link.stall(Direction::To, false);
+    link.set_stalled(Direction::To, false);
     stand_ins.wait_for_grant();
 }
 
@@ -97,10 +97,10 @@
     let (assigner, _) = AssignerProcess::start(&path);
     stand_ins.discovery.wait_for_watch();
     assigner.wait_for_log("news of the relay stand");
-    link.stall(Direction::Back, true);
+    link.set_stalled(Direction::Back, true);
     assigner.wait_for_log("no news of the relay");
     stand_ins.discovery.send_list(&list_change());
-    link.stall(Direction::Back, false);
+    link.set_stalled(Direction::Back, false);
     assigner.wait_for_log("news of the relay stand");
     stand_ins.wait_for_grant();
 }
@@ -115,7 +115,7 @@
     let (assigner, _) = AssignerProcess::start(&path);
     stand_ins.discovery.wait_for_watch();
     stand_ins.wait_for_relay_watch();
-    link.stall(Direction::Back, true);
+    link.set_stalled(Direction::Back, true);
     assigner.wait_for_log("discovery fails");
     restore(&link);
     assigner.wait_for_log("discovery answers again");
@@ -161,7 +161,7 @@
 fn line_is_kept_until_first_server_list_arrives() {
     let stand_ins = StandIns::start(first_list());
     let link = link_to(stand_ins.discovery.addr);
-    link.stall(Direction::Back, true);
+    link.set_stalled(Direction::Back, true);
     let (_folder, path) = write_config(&config(stand_ins.relay.addr, link.addr()));
     let (assigner, _) = AssignerProcess::start(&path);
     assigner.wait_for_log("discovery fails");
--- a/crates/whinhill-proxy/src/forward.rs
+++ b/crates/whinhill-proxy/src/forward.rs
@@ -31,7 +31,7 @@
 /// When the client may retry, in milliseconds (gRFC A6).
 pub const PUSHBACK_HEADER: &str = "grpc-retry-pushback-ms";
 /// Names the server that answered.
-pub const ANSWERED_BY: &str = "whinhill-answered-by";
+pub const ANSWERED_BY_HEADER: &str = "whinhill-answered-by";
 /// Tells the server the RPC's slice.
 pub const SLICE_HEADER: &str = "whinhill-slice";
 /// Tells the server the epoch of the table by which the RPC was sent.
@@ -54,7 +54,7 @@
     /// The proxy's name.
     pub id: String,
     /// Timeout of a write, whether it succeeds or fails: assigners wait this long for writes to end.
-    pub settle: Duration,
+    pub write_timeout: Duration,
     /// Limits of request and answer bodies.
     pub body: BodyLimits,
 }
@@ -313,7 +313,7 @@
         let mut connection = connection.map_err(|error| TryFailure::Failed(error, Duration::ZERO))?;
         let client = client_used.insert(connection.client.clone()).clone();
         let time_left = rpc.deadline.saturating_duration_since(Instant::now());
-        let mut timeout = if method.writes { time_left.min(self.settle) } else { time_left };
+        let mut timeout = if method.writes { time_left.min(self.write_timeout) } else { time_left };
         let mut headers = rpc.headers.clone();
         // The server may work for as long as anyone waits for the RPC, not only for the shorter timeout of this try.
         set_header(&mut headers, "grpc-timeout", &grpc_timeout(timeout));
@@ -379,13 +379,13 @@
         }
         let server_name = HeaderValue::from_str(target.server);
         if let Ok(name) = &server_name {
-            head.insert(ANSWERED_BY, name.clone());
+            head.insert(ANSWERED_BY_HEADER, name.clone());
         }
         let time_left = until.saturating_duration_since(Instant::now());
         let rewrite_trailers = |trailers: &mut Trailers| {
             *trailers = hop_headers::response_headers(trailers);
             if let Ok(name) = server_name {
-                trailers.insert(ANSWERED_BY, name);
+                trailers.insert(ANSWERED_BY_HEADER, name);
             }
         };
         match relayed.relay_answer(answer, head, until, time_left, rewrite_trailers) {
--- a/crates/whinhill-proxy/src/forward/tests.rs
+++ b/crates/whinhill-proxy/src/forward/tests.rs
@@ -42,7 +42,7 @@
         shared: shared.clone(),
         pool: Pool::new(limits.clone(), PoolLimits::default(), drivers.clone(), dial(&shared)),
         id: "p".into(),
-        settle: s(1.0),
+        write_timeout: s(1.0),
         body: BodyLimits { max_message: 1 << 20, max_body: 1 << 22 },
     });
     let (handler_forwarder, workers) = (forwarder.clone(), Workers::new("rpc", 64, 128 << 10));
@@ -146,7 +146,7 @@
 
 fn answered_by(result: &Result<(Bytes, Trailers), CallError>) -> String {
     let (_, trailers) = result.as_ref().unwrap();
-    trailers[ANSWERED_BY].to_str().unwrap().to_string()
+    trailers[ANSWERED_BY_HEADER].to_str().unwrap().to_string()
 }
 
 fn status(result: &Result<(Bytes, Trailers), CallError>) -> (Code, &str) {
--- a/crates/whinhill-proxy/src/hop_headers.rs
+++ b/crates/whinhill-proxy/src/hop_headers.rs
@@ -6,7 +6,7 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, VIA};
 use whinhill_xds::ORCA_TRAILER;
 
-use crate::forward::{ANSWERED_BY, EPOCH_HEADER, PROXY_HEADER, SLICE_HEADER};
+use crate::forward::{ANSWERED_BY_HEADER, EPOCH_HEADER, PROXY_HEADER, SLICE_HEADER};
 
 /// Hop-by-hop fields, in addition to those that `connection` names.
 const HOP_BY_HOP_HEADERS: [&str; 10] = [
@@ -78,7 +78,7 @@
 /// The headers or trailers of a response as the client gets them.
 pub fn response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::with_capacity(headers.len() + 1);
-    for (name, value) in end_to_end_headers(headers).filter(|(name, _)| *name != ANSWERED_BY) {
+    for (name, value) in end_to_end_headers(headers).filter(|(name, _)| *name != ANSWERED_BY_HEADER) {
         forwarded.append(name, value.clone());
     }
     forwarded
--- a/crates/whinhill-proxy/src/lib.rs
+++ b/crates/whinhill-proxy/src/lib.rs
@@ -18,10 +18,10 @@
 mod table;
 
 pub use connections::{Connections, Placement, PoolLimits};
-pub use forward::{ANSWERED_BY, KEY_HEADER, PUSHBACK_HEADER, REFUSED_HEADER};
+pub use forward::{ANSWERED_BY_HEADER, KEY_HEADER, PUSHBACK_HEADER, REFUSED_HEADER};
 pub use pick::{Draws, Pick};
 pub use pool::Dial;
-pub use proxy::{Proxy, ProxyConfig, ProxyError, Sabotage};
+pub use proxy::{InjectedFaults, Proxy, ProxyConfig, ProxyError};
 pub use retry::{NextStep, RetryConditions, RetryState, TryOutcome};
-pub use shared::Counts;
+pub use shared::ProxyCounters;
 pub use table::{Refusal, Route, RoutingTable};
--- a/crates/whinhill-proxy/src/proxy.rs
+++ b/crates/whinhill-proxy/src/proxy.rs
@@ -15,7 +15,7 @@
 use crate::forward::{Forwarder, PUSHBACK_HEADER};
 use crate::pick::Pick;
 use crate::pool::{Dial, Pool};
-use crate::shared::{Counts, Shared};
+use crate::shared::{ProxyCounters, Shared};
 use crate::streams::AssignerStreams;
 
 /// Stack size of the threads that run the streams to assigners.
@@ -23,9 +23,9 @@
 
 /// Deliberate faults, to show that an audit detects them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sabotage {
+pub struct InjectedFaults {
     /// Ignores assignments that admit nothing or have no line, and goes on using the previous table.
-    pub ignores_stops: bool,
+    pub ignores_closed_tables: bool,
 }
 
 /// Configuration of a proxy.
@@ -42,16 +42,16 @@
     /// State-of-the-world or incremental xDS.
     pub variant: Variant,
     /// Timeout of a write: assigners rely on every write ending within this time.
-    pub settle: Duration,
+    pub write_timeout: Duration,
     pub limits: Limits,
     /// Seeds the proxy's random numbers.
     pub seed: u64,
     pub dial: Dial,
-    pub pool: PoolLimits,
+    pub pool_limits: PoolLimits,
     /// The largest body of a request or answer, all messages together, in bytes.
-    pub body_most: u64,
+    pub max_body_bytes: u64,
     pub pick: Pick,
-    pub sabotage: Sabotage,
+    pub injected_faults: InjectedFaults,
 }
 
 /// Why a proxy can't start.
@@ -100,7 +100,7 @@
                 variant: config.variant,
                 limits: config.limits.clone(),
                 drivers: drivers.clone(),
-                sabotage: config.sabotage,
+                injected_faults: config.injected_faults,
                 replies_to_reject: replies_to_reject.clone(),
             };
             let (for_tables, for_reports) = (streams(), streams());
@@ -115,10 +115,10 @@
         }
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
-            pool: Pool::new(config.limits.clone(), config.pool, drivers.clone(), config.dial.clone()),
+            pool: Pool::new(config.limits.clone(), config.pool_limits, drivers.clone(), config.dial.clone()),
             id: config.id.clone(),
-            settle: config.settle,
-            body: BodyLimits { max_message: config.limits.max_message, max_body: config.body_most },
+            write_timeout: config.write_timeout,
+            body: BodyLimits { max_message: config.limits.max_message, max_body: config.max_body_bytes },
         });
         let workers = workers.clone();
         let handler_forwarder = forwarder.clone();
@@ -152,18 +152,18 @@
     }
 
     /// Counters since the start.
-    pub fn counts(&self) -> &Counts {
+    pub fn counters(&self) -> &ProxyCounters {
         &self.shared.counts
     }
 
     /// Number of tables that it holds, one for each slice and method, and of assignments ignored because of an older
     /// epoch.
-    pub fn held(&self) -> (usize, u64) {
+    pub fn table_counts(&self) -> (usize, u64) {
         self.shared.read_table(|table| (table.versions().len(), table.older_epoch_count()))
     }
 
     /// Number of connections to servers, and of RPCs in flight on them.
-    pub fn standing(&self) -> (usize, usize) {
+    pub fn connection_usage(&self) -> (usize, usize) {
         self.forwarder.pool.usage()
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Makes the proxy reject the next `count` replies that contain endpoints.
-    pub fn reject_next(&self, count: u64) {
+    pub fn reject_next_replies(&self, count: u64) {
         self.replies_to_reject.store(count, Ordering::Relaxed);
     }
 }
--- a/crates/whinhill-proxy/src/shared.rs
+++ b/crates/whinhill-proxy/src/shared.rs
@@ -15,7 +15,7 @@
 
 /// Counters since the proxy started.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct ProxyCounters {
     /// xDS replies that were applied.
     pub applied: AtomicU64,
     /// xDS replies that were rejected.
@@ -31,7 +31,7 @@
     /// Reads in flight that a level of 0 stopped.
     pub stopped: AtomicU64,
     /// The longest time for which a table change kept RPCs from reading the table, in microseconds.
-    pub pause_us_most: AtomicU64,
+    pub max_pause_us: AtomicU64,
 }
 
 /// State shared by the threads of one proxy.
@@ -47,7 +47,7 @@
     /// Number of tries in flight, by server.
     pub tries_in_flight: TriesInFlight,
     pub reads_in_flight: ReadsInFlight,
-    pub counts: Counts,
+    pub counts: ProxyCounters,
     pub stop: AtomicBool,
     rng: Mutex<ChaCha8Rng>,
 }
@@ -70,7 +70,7 @@
             start: Instant::now(),
             change_count: Mutex::new(0),
             changed: Condvar::new(),
-            counts: Counts::default(),
+            counts: ProxyCounters::default(),
             stop: AtomicBool::new(false),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
         }
@@ -92,7 +92,7 @@
             let mut table = self.table.write().unwrap_or_else(PoisonError::into_inner);
             let started = Instant::now();
             let result = change(&mut table);
-            self.counts.pause_us_most.fetch_max(started.elapsed().as_micros() as u64, Ordering::Relaxed);
+            self.counts.max_pause_us.fetch_max(started.elapsed().as_micros() as u64, Ordering::Relaxed);
             result
         };
         *lock(&self.change_count) += 1;
--- a/crates/whinhill-proxy/src/streams.rs
+++ b/crates/whinhill-proxy/src/streams.rs
@@ -14,7 +14,7 @@
 use whinhill_xds::proto::{self, from_proto_duration};
 use whinhill_xds::{ClientStream, Kind, Request, Response, Update, Variant, LRS_PATH};
 
-use crate::proxy::Sabotage;
+use crate::proxy::InjectedFaults;
 use crate::shared::{lock, Shared};
 use crate::table::{Applied, Source};
 
@@ -41,7 +41,7 @@
     pub variant: Variant,
     pub limits: Limits,
     pub drivers: Drivers,
-    pub sabotage: Sabotage,
+    pub injected_faults: InjectedFaults,
     /// Number of following replies with endpoints to reject whatever they contain, for tests.
     pub replies_to_reject: Arc<AtomicU64>,
 }
@@ -208,7 +208,7 @@
                         table.check(source, assignment).map_err(|conflict| conflict.to_string())?;
                     }
                     for assignment in &assignments {
-                        if self.sabotage.ignores_stops
+                        if self.injected_faults.ignores_closed_tables
                             && (assignment.share == 0.0 || assignment.lines.is_empty())
                         {
                             continue;
@@ -342,7 +342,7 @@
             variant: Variant::Incremental,
             limits: Limits::default(),
             drivers: Drivers::start("streams", 1).unwrap(),
-            sabotage: Sabotage::default(),
+            injected_faults: InjectedFaults::default(),
             replies_to_reject: Arc::default(),
         }
     }
--- a/crates/whinhill-standins/src/audit.rs
+++ b/crates/whinhill-standins/src/audit.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use whinhill_assigner::RosterState;
 
-use crate::record::Event;
+use crate::recorder::Event;
 
 /// The limits that the rules set, from the day's script.
 #[derive(Clone, Debug)]
--- a/crates/whinhill-standins/src/bench.rs
+++ b/crates/whinhill-standins/src/bench.rs
@@ -13,8 +13,8 @@
 use whinhill_proxy::KEY_HEADER;
 use whinhill_transport::{Client, Drivers, Limits};
 
-use crate::day::{Day, Proxies, Speaks};
-use crate::play::{play, Outcome, PlayError};
+use crate::day::{Day, ProtocolVariant, ProxySettings};
+use crate::day_run::{run_day, DayRunError, Outcome};
 
 /// Figures of a day of a large fleet with one variant of the protocol.
 #[derive(Debug, Serialize)]
@@ -40,12 +40,15 @@
 }
 
 /// Runs the same day with all proxies incremental, then with all of them state of the world.
-pub fn fleet(day: &Day, program: &Path, out: &Path) -> Result<Vec<FleetFigures>, PlayError> {
-    let variants = [("incremental", Speaks::Incremental), ("state of the world", Speaks::StateOfTheWorld)];
+pub fn measure_fleet(day: &Day, program: &Path, out: &Path) -> Result<Vec<FleetFigures>, DayRunError> {
+    let variants = [
+        ("incremental", ProtocolVariant::Incremental),
+        ("state of the world", ProtocolVariant::StateOfTheWorld),
+    ];
     let mut figures = Vec::new();
     for (variant, speaks) in variants {
-        let day = Day { proxies: Proxies { speaks, ..day.proxies.clone() }, ..day.clone() };
-        let outcome = play(&day, program, &out.join(variant.replace(' ', "-")))?;
+        let day = Day { proxies: ProxySettings { speaks, ..day.proxies.clone() }, ..day.clone() };
+        let outcome = run_day(&day, program, &out.join(variant.replace(' ', "-")))?;
         figures.push(figures_of(variant, &day, &outcome));
     }
     Ok(figures)
@@ -93,7 +96,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
     #[error(transparent)]
-    Play(#[from] PlayError),
+    DayRun(#[from] DayRunError),
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
@@ -102,7 +105,7 @@
 
 /// Sends RPCs for `path` to `addr` in a closed loop, over one connection for every eight callers. `name` goes into the
 /// figures.
-pub fn closed_loop(
+pub fn measure_closed_loop(
     name: &'static str,
     addr: std::net::SocketAddr,
     path: &str,
--- a/crates/whinhill-standins/src/clients.rs
+++ b/crates/whinhill-standins/src/clients.rs
@@ -17,7 +17,7 @@
 use whinhill_xds::mapping::{Effect, Service};
 
 use crate::day::Load;
-use crate::record::{Event, Recorder};
+use crate::recorder::{Event, Recorder};
 
 /// Names and addresses of the proxies over which clients are spread.
 pub type ProxyAddrs = Arc<Mutex<Vec<(Arc<str>, SocketAddr)>>>;
--- a/crates/whinhill-standins/src/day.rs
+++ b/crates/whinhill-standins/src/day.rs
@@ -27,7 +27,7 @@
     #[serde(default)]
     pub roster: RosterSource,
     pub servers: Servers,
-    pub proxies: Proxies,
+    pub proxies: ProxySettings,
     /// How many assigners run.
     pub assigners: usize,
     #[serde(default)]
@@ -114,7 +114,8 @@
 /// The variant of the protocol that proxies use towards assigners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum Speaks {
+#[schemars(rename = "Speaks")]
+pub enum ProtocolVariant {
     Incremental,
     StateOfTheWorld,
     /// Every other proxy uses the incremental variant.
@@ -124,9 +125,10 @@
 /// The proxies of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Proxies {
+#[schemars(rename = "Proxies")]
+pub struct ProxySettings {
     pub count: usize,
-    pub speaks: Speaks,
+    pub speaks: ProtocolVariant,
 }
 
 /// The load that clients send.
--- a/crates/whinhill-standins/src/play.rs
+++ b/crates/whinhill-standins/src/day_run.rs
@@ -1,6 +1,6 @@
 //! Runs a scripted day: starts the fleet, applies load, injects faults by the script, stops the fleet and audits it.
 //!
-//! [`play`] does all of it. The modules `assigners`, `proxies` and `servers` start and stop the parts of the fleet.
+//! [`run_day`] does all of it. The modules `assigners`, `proxies` and `servers` start and stop the parts of the fleet.
 //! `schedule` decides what is due, `faults` and `links` inject and end faults, `load` sends RPCs meanwhile, and
 //! `outcome` summarizes the run.
 
@@ -23,8 +23,8 @@
 
 use crate::day::{Day, FaultKind, ScheduledFault};
 
-pub use error::PlayError;
-pub use handle::{with_fleet, Rig};
+pub use error::DayRunError;
+pub use handle::{with_fleet, FleetHandle};
 pub use outcome::Outcome;
 pub use rollbacks::Rollbacks;
 
@@ -37,7 +37,7 @@
 
 /// Runs `day` and returns its outcome. `program` is the binary that runs as assigner and as proxy where these are
 /// processes. Configurations, logs and status files go to `out`.
-pub fn play(day: &Day, program: &Path, out: &Path) -> Result<Outcome, PlayError> {
+pub fn run_day(day: &Day, program: &Path, out: &Path) -> Result<Outcome, DayRunError> {
     let mut fleet = Fleet::start(day, program, out)?;
     let result = fleet.run();
     let has_rollback = |fault: &ScheduledFault| matches!(fault.what, FaultKind::RollBack { .. });
--- a/crates/whinhill-standins/src/play/assigners.rs
+++ b/crates/whinhill-standins/src/day_run/assigners.rs
@@ -11,11 +11,11 @@
 use whinhill_assigner::{Assigner, AssignerConfig, RosterConfig, StoreConfig};
 
 use super::error::io_at;
-use super::{loopback, Fleet, PlayError, READY_TIMEOUT, STOP_TIMEOUT};
+use super::{loopback, DayRunError, Fleet, READY_TIMEOUT, STOP_TIMEOUT};
 use crate::day::{RunAs, Sabotage};
 use crate::hops::Hop;
 use crate::link::Link;
-use crate::record::Event;
+use crate::recorder::Event;
 use crate::roster::EDS_RESOURCE;
 use crate::running::{self, RunningAssigner};
 
@@ -39,7 +39,7 @@
 
 impl Fleet<'_> {
     /// Adds an assigner with its links and its configuration, and starts it.
-    pub(super) fn add_assigner(&mut self, number: usize, out: &Path) -> Result<(), PlayError> {
+    pub(super) fn add_assigner(&mut self, number: usize, out: &Path) -> Result<(), DayRunError> {
         let name = format!("assigner-{number}");
         let dir = out.join(&name);
         // Files that an earlier day left there would be read as this day's.
@@ -112,7 +112,7 @@
     }
 
     /// Starts an assigner and directs the proxies' links to its address.
-    pub(super) fn start_assigner(&mut self, number: usize) -> Result<(), PlayError> {
+    pub(super) fn start_assigner(&mut self, number: usize) -> Result<(), DayRunError> {
         let slot = &mut self.assigners[number];
         slot.starts += 1;
         let start = slot.starts;
@@ -137,8 +137,8 @@
         for slot in &self.assigners {
             if let Some(RunningAssigner::Process(child)) = &slot.running {
                 // A stalled process can't end.
-                running::signal(child, Signal::CONT);
-                running::signal(child, Signal::TERM);
+                running::send_signal(child, Signal::CONT);
+                running::send_signal(child, Signal::TERM);
             }
         }
         let until = Instant::now() + STOP_TIMEOUT;
@@ -166,7 +166,7 @@
     pub(super) fn signal_assigner(&self, which: usize, signal: Signal, running: bool) {
         let slot = &self.assigners[which];
         if let Some(RunningAssigner::Process(child)) = &slot.running {
-            running::signal(child, signal);
+            running::send_signal(child, signal);
         }
         self.recorder.add(Event::AssignerRunning { assigner: slot.name.as_str().into(), running });
     }
@@ -178,8 +178,8 @@
         self.dir.join("operators")
     }
 
-    fn failed(&self, error: &dyn std::fmt::Display) -> PlayError {
-        PlayError::Start { name: self.name.clone(), error: error.to_string() }
+    fn failed(&self, error: &dyn std::fmt::Display) -> DayRunError {
+        DayRunError::Start { name: self.name.clone(), error: error.to_string() }
     }
 
     fn start_process(
@@ -188,7 +188,7 @@
         ready: &Path,
         log: &Path,
         status: &Path,
-    ) -> Result<(RunningAssigner, SocketAddr), PlayError> {
+    ) -> Result<(RunningAssigner, SocketAddr), DayRunError> {
         let mut arguments: Vec<&OsStr> =
             ["--log", "json", "--log-level", LOG_LEVEL, "assigner", "--config"].map(OsStr::new).into();
         arguments.extend([self.config.as_os_str(), OsStr::new("--status-file"), status.as_os_str()]);
@@ -197,7 +197,7 @@
         Ok((RunningAssigner::Process(child), addr))
     }
 
-    fn start_thread(&self, status: &Path) -> Result<(RunningAssigner, SocketAddr), PlayError> {
+    fn start_thread(&self, status: &Path) -> Result<(RunningAssigner, SocketAddr), DayRunError> {
         let text = fs::read_to_string(&self.config).map_err(io_at("a configuration"))?;
         let mut config: AssignerConfig = serde_json::from_str(&text).map_err(|error| self.failed(&error))?;
         config.status_file = Some(status.to_path_buf());
--- a/crates/whinhill-standins/src/play/error.rs
+++ b/crates/whinhill-standins/src/day_run/error.rs
@@ -7,7 +7,7 @@
 
 /// Why a day could not be run.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum DayRunError {
     /// A system call failed while `what` was set up or changed.
     #[error("{what}: {error}")]
     Io { what: String, error: io::Error },
@@ -22,7 +22,7 @@
     NotReady { timeout: Duration, held: usize, wanted: usize },
 }
 
-/// Converts an I/O error into a [`PlayError`] that names what failed.
-pub(super) fn io_at(what: &str) -> impl FnOnce(io::Error) -> PlayError + '_ {
-    move |error| PlayError::Io { what: what.to_string(), error }
+/// Converts an I/O error into a [`DayRunError`] that names what failed.
+pub(super) fn io_at(what: &str) -> impl FnOnce(io::Error) -> DayRunError + '_ {
+    move |error| DayRunError::Io { what: what.to_string(), error }
 }
--- a/crates/whinhill-standins/src/play/faults.rs
+++ b/crates/whinhill-standins/src/day_run/faults.rs
@@ -8,7 +8,7 @@
 
 use super::error::io_at;
 use super::schedule::{Action, FollowUps};
-use super::{ms, Fleet, PlayError};
+use super::{ms, DayRunError, Fleet};
 use crate::day::FaultKind;
 use crate::hops::Selection;
 use crate::running::RunningProxy;
@@ -22,7 +22,7 @@
         &mut self,
         fault: FaultKind,
         duration: Duration,
-    ) -> Result<FollowUps, PlayError> {
+    ) -> Result<FollowUps, DayRunError> {
         info!(trouble = ?fault, "a fault begins");
         let mut on = Vec::new();
         match &fault {
@@ -63,7 +63,7 @@
     }
 
     /// Ends a fault of the parts with the numbers `on`.
-    pub(super) fn end_fault(&mut self, fault: &FaultKind, on: &[usize]) -> Result<(), PlayError> {
+    pub(super) fn end_fault(&mut self, fault: &FaultKind, on: &[usize]) -> Result<(), DayRunError> {
         match fault {
             FaultKind::KillAssigner { which } => self.start_assigner(*which)?,
             FaultKind::StallAssigner { which } => self.signal_assigner(*which, Signal::CONT, true),
@@ -104,7 +104,7 @@
     fn reject_tables(&mut self, part: f64) {
         for number in self.draw_part(part, self.proxies.len()) {
             if let Some(proxy) = self.proxies[number].running.as_ref().and_then(RunningProxy::as_thread) {
-                proxy.reject_next(1);
+                proxy.reject_next_replies(1);
             }
         }
     }
--- a/crates/whinhill-standins/src/play/fleet.rs
+++ b/crates/whinhill-standins/src/day_run/fleet.rs
@@ -18,11 +18,11 @@
 use super::outcome::ProxyTotals;
 use super::proxies::ProxySlot;
 use super::servers::ServerSlot;
-use super::{loopback, PlayError, READY_TIMEOUT};
+use super::{loopback, DayRunError, READY_TIMEOUT};
 use crate::clients::ProxyAddrs;
 use crate::day::{Day, RosterSource};
 use crate::hops::ServerLinks;
-use crate::record::Recorder;
+use crate::recorder::Recorder;
 use crate::roster::RosterStandIn;
 use crate::store::StoreStandIn;
 
@@ -57,7 +57,7 @@
 
 impl<'a> Fleet<'a> {
     /// Starts everything and waits until the proxies hold all tables. Files go to `out`.
-    pub(super) fn start(day: &'a Day, program: &'a Path, out: &Path) -> Result<Self, PlayError> {
+    pub(super) fn start(day: &'a Day, program: &'a Path, out: &Path) -> Result<Self, DayRunError> {
         fs::create_dir_all(out).map_err(io_at("the output folder"))?;
         let service = Arc::new(day.service.to_service());
         let recorder = Recorder::default();
@@ -105,7 +105,7 @@
     }
 
     /// Waits until every proxy holds a table for each slice and method.
-    fn wait_until_ready(&self) -> Result<(), PlayError> {
+    fn wait_until_ready(&self) -> Result<(), DayRunError> {
         let per_proxy = self.service.slices * self.service.methods.len();
         let wanted = per_proxy * self.proxies.len();
         let deadline = Instant::now() + READY_TIMEOUT;
@@ -115,7 +115,7 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                return Err(PlayError::NotReady { timeout: READY_TIMEOUT, held, wanted });
+                return Err(DayRunError::NotReady { timeout: READY_TIMEOUT, held, wanted });
             }
             thread::sleep(POLL_INTERVAL);
         }
--- a/crates/whinhill-standins/src/play/handle.rs
+++ b/crates/whinhill-standins/src/day_run/handle.rs
@@ -4,28 +4,28 @@
 use std::path::Path;
 use std::sync::PoisonError;
 
-use super::{Fleet, PlayError};
+use super::{DayRunError, Fleet};
 use crate::day::Day;
 use crate::running::{ProxyFigures, RunningProxy};
 
 /// A running fleet of a day, without the day's load and faults.
-pub struct Rig<'a>(Fleet<'a>);
+pub struct FleetHandle<'a>(Fleet<'a>);
 
-impl Rig<'_> {
+impl FleetHandle<'_> {
     /// The addresses at which clients reach the proxies.
-    pub fn proxies(&self) -> Vec<SocketAddr> {
+    pub fn proxy_addrs(&self) -> Vec<SocketAddr> {
         let proxy_addrs = self.0.proxy_addrs.lock().unwrap_or_else(PoisonError::into_inner);
         proxy_addrs.iter().map(|(_, addr)| *addr).collect()
     }
 
     /// The addresses of the servers that run.
-    pub fn servers(&self) -> Vec<SocketAddr> {
+    pub fn server_addrs(&self) -> Vec<SocketAddr> {
         let servers = self.0.servers.iter().filter_map(|slot| slot.server.as_ref());
         servers.filter_map(|server| server.name().parse().ok()).collect()
     }
 
     /// The process id and the figures of the first proxy, if it runs as a process.
-    pub fn first_proxy(&self) -> Option<(u32, ProxyFigures)> {
+    pub fn first_proxy_process(&self) -> Option<(u32, ProxyFigures)> {
         match self.0.proxies.first()?.running.as_ref()? {
             running @ RunningProxy::Process { child, .. } => Some((child.id(), running.figures())),
             RunningProxy::Thread(_) => None,
@@ -33,7 +33,7 @@
     }
 
     /// Sets whether servers accept RPCs without answering them.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_servers_silent(&self, silent: bool) {
         for server in self.0.servers.iter().filter_map(|slot| slot.server.as_ref()) {
             server.set_faults(|faults| faults.silent = silent);
         }
@@ -41,10 +41,10 @@
 
     /// Breaks every table stream once. Proxies open them again; with the state-of-the-world variant they are sent all
     /// tables again.
-    pub fn break_streams(&self) {
+    pub fn break_table_streams(&self) {
         for link in self.0.proxies.iter().flat_map(|proxy| &proxy.links) {
-            link.cut(true);
-            link.cut(false);
+            link.set_down(true);
+            link.set_down(false);
         }
     }
 }
@@ -54,10 +54,10 @@
     day: &Day,
     program: &Path,
     out: &Path,
-    act: impl FnOnce(&Rig<'_>) -> T,
-) -> Result<T, PlayError> {
-    let mut rig = Rig(Fleet::start(day, program, out)?);
-    let result = act(&rig);
-    rig.0.stop();
+    act: impl FnOnce(&FleetHandle<'_>) -> T,
+) -> Result<T, DayRunError> {
+    let mut fleet = FleetHandle(Fleet::start(day, program, out)?);
+    let result = act(&fleet);
+    fleet.0.stop();
     Ok(result)
 }
--- a/crates/whinhill-standins/src/play/links.rs
+++ b/crates/whinhill-standins/src/day_run/links.rs
@@ -4,8 +4,8 @@
 
 use super::{ms, Fleet};
 use crate::hops::{Hop, LinkFault};
-use crate::record::Event;
-use crate::server::Server;
+use crate::recorder::Event;
+use crate::server::ServerStandIn;
 
 impl Fleet<'_> {
     /// Begins or ends a fault of the links between the given parts, and records it for the audit. The audit excuses
@@ -38,7 +38,9 @@
                     }
                 }
                 Hop::ProxiesServers => {
-                    let Some(server) = self.servers[f].server.as_ref().map(Server::name) else { continue };
+                    let Some(server) = self.servers[f].server.as_ref().map(ServerStandIn::name) else {
+                        continue;
+                    };
                     let Ok(addr) = server.parse() else { continue };
                     self.server_links.set(n, addr, fault, begins);
                     let (proxy, server) = (self.proxies[n].id.clone(), server.clone());
--- a/crates/whinhill-standins/src/play/load.rs
+++ b/crates/whinhill-standins/src/day_run/load.rs
@@ -10,7 +10,7 @@
 use whinhill_transport::{Drivers, Workers};
 
 use super::error::io_at;
-use super::{Fleet, PlayError};
+use super::{DayRunError, Fleet};
 use crate::clients::{Counters, LoadGenerator};
 
 /// The highest latency that the histogram distinguishes, in microseconds.
@@ -54,7 +54,7 @@
 }
 
 impl RunningLoad {
-    pub(super) fn start(fleet: &Fleet<'_>) -> Result<Self, PlayError> {
+    pub(super) fn start(fleet: &Fleet<'_>) -> Result<Self, DayRunError> {
         let latencies_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
             .map_err(|error| io_at("a histogram")(io::Error::other(error.to_string())))?;
         let result =
--- a/crates/whinhill-standins/src/play/outcome.rs
+++ b/crates/whinhill-standins/src/day_run/outcome.rs
@@ -15,7 +15,7 @@
 use super::{ms, Fleet};
 use crate::audit::{audit, Audit, Limits};
 use crate::day::Day;
-use crate::record::Event;
+use crate::recorder::Event;
 
 /// The outcome of a day. All figures are measured on loopback.
 #[derive(Clone, Debug, Serialize)]
@@ -64,7 +64,7 @@
 
 impl Outcome {
     /// Whether the audit covers the whole day and found no violation of a rule.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.rules.total() == 0 && self.complete
     }
 }
--- a/crates/whinhill-standins/src/play/proxies.rs
+++ b/crates/whinhill-standins/src/day_run/proxies.rs
@@ -15,11 +15,11 @@
 use whinhill_xds::Variant;
 
 use super::error::io_at;
-use super::{loopback, ms, Fleet, PlayError, READY_TIMEOUT, STOP_TIMEOUT};
-use crate::day::{Day, RunAs, Sabotage, Speaks};
+use super::{loopback, ms, DayRunError, Fleet, READY_TIMEOUT, STOP_TIMEOUT};
+use crate::day::{Day, ProtocolVariant, RunAs, Sabotage};
 use crate::hops::Hop;
 use crate::link::Link;
-use crate::record::Event;
+use crate::recorder::Event;
 use crate::running::{self, RunningProxy};
 
 /// One proxy, which may be killed and started again.
@@ -48,7 +48,7 @@
 
 impl Fleet<'_> {
     /// Adds a proxy with its links, and starts it.
-    pub(super) fn add_proxy(&mut self, number: usize, out: &Path) -> Result<(), PlayError> {
+    pub(super) fn add_proxy(&mut self, number: usize, out: &Path) -> Result<(), DayRunError> {
         let id: Arc<str> = format!("proxy-{number}").into();
         let mut links = Vec::new();
         for assigner in 0..if self.day.links { self.day.assigners } else { 0 } {
@@ -82,14 +82,14 @@
     }
 
     /// Starts a proxy, for the first time or again, and announces it to clients.
-    pub(super) fn start_proxy(&mut self, number: usize) -> Result<(), PlayError> {
+    pub(super) fn start_proxy(&mut self, number: usize) -> Result<(), DayRunError> {
         let seed = self.rng.random();
         self.proxies[number].starts += 1;
         let slot = &self.proxies[number];
         let incremental = match self.day.proxies.speaks {
-            Speaks::Incremental => true,
-            Speaks::StateOfTheWorld => false,
-            Speaks::Both => slot.number.is_multiple_of(2),
+            ProtocolVariant::Incremental => true,
+            ProtocolVariant::StateOfTheWorld => false,
+            ProtocolVariant::Both => slot.number.is_multiple_of(2),
         };
         let addr = |k: usize, direct: SocketAddr| slot.links.get(k).map_or(direct, |link| link.addr());
         let assigners =
@@ -108,7 +108,7 @@
         &self,
         number: usize,
         params: StartParams,
-    ) -> Result<(RunningProxy, SocketAddr), PlayError> {
+    ) -> Result<(RunningProxy, SocketAddr), DayRunError> {
         let proxy = Proxy::start(self.proxy_config(number, params), &self.drivers, &self.workers)?;
         let addr = proxy.addr().unwrap_or_else(loopback);
         Ok((RunningProxy::Thread(proxy), addr))
@@ -126,7 +126,7 @@
             service: self.service.clone(),
             assigners: params.assigners,
             variant: if params.incremental { Variant::Incremental } else { Variant::StateOfTheWorld },
-            settle: ms(self.day.service.settle_ms),
+            write_timeout: ms(self.day.service.settle_ms),
             limits: Limits {
                 handshake: Duration::from_secs(1),
                 keep_alive: Duration::from_secs(1),
@@ -139,11 +139,11 @@
             dial,
             // The whole fleet shares one process's file descriptors: with 208 proxies and 143 servers that keep idle
             // connections for a minute they ran out, and one RPC in nine never ran.
-            pool: PoolLimits { idle_ms: 3000, ..Default::default() },
-            body_most: 64 << 20,
+            pool_limits: PoolLimits { idle_ms: 3000, ..Default::default() },
+            max_body_bytes: 64 << 20,
             pick: whinhill_proxy::Pick::default(),
-            sabotage: whinhill_proxy::Sabotage {
-                ignores_stops: self.day.sabotage.contains(&Sabotage::ProxyIgnoresStops),
+            injected_faults: whinhill_proxy::InjectedFaults {
+                ignores_closed_tables: self.day.sabotage.contains(&Sabotage::ProxyIgnoresStops),
             },
         }
     }
@@ -179,7 +179,7 @@
     fn begin_stop(&self) {
         match &self.running {
             Some(RunningProxy::Thread(proxy)) => proxy.begin_stop(),
-            Some(RunningProxy::Process { child, .. }) => running::signal(child, Signal::TERM),
+            Some(RunningProxy::Process { child, .. }) => running::send_signal(child, Signal::TERM),
             None => {}
         }
     }
@@ -204,9 +204,9 @@
         day: &Day,
         program: &Path,
         params: StartParams,
-    ) -> Result<(RunningProxy, SocketAddr), PlayError> {
+    ) -> Result<(RunningProxy, SocketAddr), DayRunError> {
         let failed =
-            |error: io::Error| PlayError::Start { name: self.id.to_string(), error: error.to_string() };
+            |error: io::Error| DayRunError::Start { name: self.id.to_string(), error: error.to_string() };
         fs::create_dir_all(&self.dir).map_err(failed)?;
         let path = |name: &str| self.dir.join(format!("{name}-{}", self.starts));
         let (config, status) = (path("proxy.json5"), path("status.jsonl"));
--- a/crates/whinhill-standins/src/play/schedule.rs
+++ b/crates/whinhill-standins/src/day_run/schedule.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::load::{LoadResult, RunningLoad};
-use super::{Fleet, PlayError};
+use super::{DayRunError, Fleet};
 use crate::day::{Day, FaultKind};
 use crate::hops::{Hop, LinkFault};
 
@@ -62,14 +62,14 @@
 
 impl Fleet<'_> {
     /// Runs the day's schedule under its load.
-    pub(super) fn run(&mut self) -> Result<LoadResult, PlayError> {
+    pub(super) fn run(&mut self) -> Result<LoadResult, DayRunError> {
         let load = RunningLoad::start(self)?;
         let result = self.run_schedule();
         let load_result = load.stop();
         result.map(|()| load_result)
     }
 
-    fn run_schedule(&mut self) -> Result<(), PlayError> {
+    fn run_schedule(&mut self) -> Result<(), DayRunError> {
         let (start, end) = (Instant::now(), Duration::from_secs_f64(self.day.seconds));
         let mut schedule = Schedule::of(self.day);
         while start.elapsed() < end {
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    fn perform(&mut self, action: Action) -> Result<FollowUps, PlayError> {
+    fn perform(&mut self, action: Action) -> Result<FollowUps, DayRunError> {
         match action {
             Action::BeginFault(fault, duration) => return self.begin_fault(fault, duration),
             Action::EndLinkFault(hop, fault, near, far) => {
--- a/crates/whinhill-standins/src/play/servers.rs
+++ b/crates/whinhill-standins/src/day_run/servers.rs
@@ -8,24 +8,24 @@
 use whinhill_store::Record;
 
 use super::error::io_at;
-use super::{loopback, ms, Fleet, PlayError};
+use super::{loopback, ms, DayRunError, Fleet};
 use crate::day::{FaultKind, Sabotage};
 use crate::roster::new_entry;
-use crate::server::{Server, ServerConfig};
+use crate::server::{ServerConfig, ServerStandIn};
 
 /// With [`Sabotage::ServerHoldsOn`]: how long a server goes on with a write that cannot be cancelled, in seconds.
 const UNCANCELLABLE_WRITE_S: f64 = 4.0;
 
 /// A position in the fleet. A server that is replaced is followed by another of the same zone and speed.
 pub(super) struct ServerSlot {
-    pub(super) server: Option<Server>,
+    pub(super) server: Option<ServerStandIn>,
     pub(super) zone: String,
     pub(super) speed: f64,
 }
 
 impl Fleet<'_> {
     /// Adds a server, with its zone and a drawn speed, and starts it.
-    pub(super) fn add_server(&mut self, number: usize) -> Result<(), PlayError> {
+    pub(super) fn add_server(&mut self, number: usize) -> Result<(), DayRunError> {
         let zone = self.day.zones[number % self.day.zones.len()].clone();
         let [low, high] = self.day.servers.speed;
         let speed = if high > low { self.rng.random_range(low..high) } else { low };
@@ -34,20 +34,21 @@
         Ok(())
     }
 
-    fn start_server(&mut self, speed: f64, cold: bool) -> Result<Server, PlayError> {
+    fn start_server(&mut self, speed: f64, cold: bool) -> Result<ServerStandIn, DayRunError> {
         let config = ServerConfig {
             listen: loopback(),
             cores: self.day.servers.cores,
             speed,
             cold,
-            cold_from: self.day.rules.cold_from,
-            warm_after: ms(self.day.rules.warm_after_ms),
-            queue_most: self.day.servers.queue,
-            work: self.day.load.mix.iter().map(|mix| mix.work_ms / 1e3).collect(),
+            cold_capacity: self.day.rules.cold_from,
+            warm_up: ms(self.day.rules.warm_after_ms),
+            max_queue: self.day.servers.queue,
+            mean_work: self.day.load.mix.iter().map(|mix| mix.work_ms / 1e3).collect(),
             service: self.service.clone(),
             seed: self.rng.random(),
         };
-        let server = Server::start(config, &self.workers, &self.recorder).map_err(io_at("a server"))?;
+        let server =
+            ServerStandIn::start(config, &self.workers, &self.recorder).map_err(io_at("a server"))?;
         if self.day.sabotage.contains(&Sabotage::ServerHoldsOn) {
             server.set_faults(|faults| faults.uncancellable_write_s = UNCANCELLABLE_WRITE_S);
         }
@@ -55,7 +56,7 @@
     }
 
     /// Adds servers to the roster.
-    pub(super) fn list(&mut self, which: &[usize], started_now: bool) -> Result<(), PlayError> {
+    pub(super) fn list(&mut self, which: &[usize], started_now: bool) -> Result<(), DayRunError> {
         let servers = &self.servers;
         let entries = which.iter().filter_map(|&number| {
             let slot = &servers[number];
@@ -79,7 +80,7 @@
     }
 
     /// Marks servers as draining in the roster.
-    pub(super) fn drain(&mut self, which: &[usize]) -> Result<(), PlayError> {
+    pub(super) fn drain(&mut self, which: &[usize]) -> Result<(), DayRunError> {
         let addrs = self.addrs(which);
         let changed = self.roster.update(|list| {
             for addr in &addrs {
@@ -90,14 +91,14 @@
     }
 
     /// Removes servers from the roster.
-    pub(super) fn unlist(&mut self, which: &[usize]) -> Result<(), PlayError> {
+    pub(super) fn unlist(&mut self, which: &[usize]) -> Result<(), DayRunError> {
         let addrs = self.addrs(which);
         let changed = self.roster.update(|list| addrs.iter().for_each(|addr| drop(list.remove(addr))));
         changed.map_err(io_at("the roster"))
     }
 
     /// Ends servers and starts cold ones in their positions.
-    pub(super) fn replace(&mut self, which: &[usize]) -> Result<(), PlayError> {
+    pub(super) fn replace(&mut self, which: &[usize]) -> Result<(), DayRunError> {
         self.unlist(which)?;
         for &number in which {
             self.servers[number].server = None;
--- a/crates/whinhill-standins/src/from_bench.rs
+++ b/crates/whinhill-standins/src/from_bench.rs
@@ -6,7 +6,9 @@
     ChannelConfig, CustodySettings, MethodConfig, MethodEffect, RulesConfig, ServiceConfig,
 };
 
-use crate::day::{Day, FaultKind, Load, Mix, Proxies, RosterSource, Run, ScheduledFault, Servers, Speaks};
+use crate::day::{
+    Day, FaultKind, Load, Mix, ProtocolVariant, ProxySettings, RosterSource, Run, ScheduledFault, Servers,
+};
 use crate::hops::{Hop, LinkFault, Selection};
 use crate::link::Direction;
 
@@ -113,7 +115,7 @@
 const SERVER_CORES: usize = 2;
 
 /// Converts a day as the bench prints it. Returns the script and the kinds of faults that have no counterpart here.
-pub fn from_bench(text: &str) -> Result<(Day, Vec<String>), FromBenchError> {
+pub fn convert(text: &str) -> Result<(Day, Vec<String>), FromBenchError> {
     let bench: BenchDay = serde_json::from_str(text)?;
     if bench.family != "control" {
         return Err(FromBenchError::OtherFamily(bench.family));
@@ -222,7 +224,7 @@
         probes: false,
         roster: RosterSource::File,
         servers: Servers { count: servers, cores: SERVER_CORES, speed: [0.8, 1.2], queue: 40 },
-        proxies: Proxies { count: PROXY_COUNT, speaks: Speaks::Both },
+        proxies: ProxySettings { count: PROXY_COUNT, speaks: ProtocolVariant::Both },
         assigners,
         links: true,
         link_delay_ms: 10,
@@ -264,7 +266,7 @@
 
     #[test]
     fn faults_keep_kind_size_and_time_and_unsupported_kinds_are_listed() {
-        let (day, unsupported) = from_bench(DAY).unwrap();
+        let (day, unsupported) = convert(DAY).unwrap();
         assert_eq!((day.validate().len(), unsupported), (0, vec!["moonrise".to_string()]));
         assert_eq!((day.assigners, day.servers.count, day.service.slices), (2, 12, 60));
         let at: Vec<f64> = day.faults.iter().map(|fault| fault.at_s).collect();
@@ -273,6 +275,6 @@
         assert!(
             matches!(day.faults[2].what, FaultKind::SlowServers { part, times: 4.0 } if (part - 0.1).abs() < 1e-9)
         );
-        assert!(from_bench(r#"{"family": "other"}"#).is_err());
+        assert!(convert(r#"{"family": "other"}"#).is_err());
     }
 }
--- a/crates/whinhill-standins/src/hops.rs
+++ b/crates/whinhill-standins/src/hops.rs
@@ -61,16 +61,16 @@
     /// Sets the fault on a link, or removes it. `usual_delay` is the link's delay without a fault.
     pub fn apply(self, link: &Link, begins: bool, usual_delay: Duration) {
         match self {
-            LinkFault::Cut { way } => link.stall(way, begins),
+            LinkFault::Cut { way } => link.set_stalled(way, begins),
             LinkFault::Delay { ms } => {
                 link.set_delay(if begins { Duration::from_millis(ms) } else { usual_delay });
             }
             LinkFault::Slow { bytes_per_s } => {
                 link.limit_rate(Direction::Back, if begins { bytes_per_s } else { 0 });
             }
-            LinkFault::Break { after_bytes } if begins => link.break_after(after_bytes),
+            LinkFault::Break { after_bytes } if begins => link.break_after_bytes(after_bytes),
             LinkFault::Break { .. } => {}
-            LinkFault::Down {} => link.cut(begins),
+            LinkFault::Down {} => link.set_down(begins),
         }
     }
 
--- a/crates/whinhill-standins/src/link.rs
+++ b/crates/whinhill-standins/src/link.rs
@@ -128,7 +128,7 @@
     }
 
     /// Stops forwarding in a direction, or resumes it.
-    pub fn stall(&self, direction: Direction, stalled: bool) {
+    pub fn set_stalled(&self, direction: Direction, stalled: bool) {
         self.directions(direction).for_each(|state| state.stalled.store(stalled, Ordering::Relaxed));
     }
 
@@ -138,18 +138,18 @@
     }
 
     /// Forwards both directions in pieces of so many bytes; 0: as they were read.
-    pub fn cut_into_pieces(&self, bytes: usize) {
+    pub fn set_piece_bytes(&self, bytes: usize) {
         self.directions(Direction::Both).for_each(|state| state.piece_bytes.store(bytes, Ordering::Relaxed));
     }
 
     /// Sets whether the end of one direction is forwarded while the other goes on until it ends too. Otherwise the end
     /// of one direction ends the whole connection.
-    pub fn half_close(&self, pass_half_close: bool) {
+    pub fn forward_half_close(&self, pass_half_close: bool) {
         self.inner.pass_half_close.store(pass_half_close, Ordering::Relaxed);
     }
 
     /// Breaks all connections and refuses new ones, or accepts connections again.
-    pub fn cut(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.inner.down.store(down, Ordering::Relaxed);
         if down {
             self.inner.break_all();
@@ -157,7 +157,7 @@
     }
 
     /// Breaks a connection once `bytes` more have come back from the target, possibly in the middle of a message.
-    pub fn break_after(&self, bytes: u64) {
+    pub fn break_after_bytes(&self, bytes: u64) {
         self.inner.backward.break_after_bytes.store(bytes as i64, Ordering::Relaxed);
     }
 
--- a/crates/whinhill-standins/src/platform/audit.rs
+++ b/crates/whinhill-standins/src/platform/audit.rs
@@ -185,7 +185,7 @@
 /// Events around a process that excuse a request without an answer or a late answer.
 #[derive(Clone, Debug, Default)]
 pub struct Excuses {
-    pub ends: Vec<End>,
+    pub ends: Vec<ProcessEnd>,
     /// From SIGSTOP to SIGCONT.
     pub pauses: Vec<(Duration, Duration)>,
     pub crowds: Vec<Crowd>,
@@ -193,14 +193,14 @@
 
 /// The end of a process by SIGKILL.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct ProcessEnd {
     /// When SIGTERM was sent; `None` if SIGKILL came without a SIGTERM.
-    pub told: Option<Duration>,
+    pub term_sent_at: Option<Duration>,
     /// When SIGKILL was sent, and when the process had exited.
-    pub killed: Duration,
-    pub gone: Duration,
+    pub kill_sent_at: Duration,
+    pub exited_at: Duration,
     /// When the next process first answered.
-    pub back: Option<Duration>,
+    pub next_ready_at: Option<Duration>,
 }
 
 /// A group of clients, from its start until it was told to stop.
@@ -213,11 +213,11 @@
 
 /// How a request reached the assigner's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ClientPath {
     Direct,
     /// Through a byte proxy, which accepts connections even when no process is there and forwards
     /// an end of stream with a delay.
-    ByProxy,
+    ByteProxy,
 }
 
 /// Why a request without an answer violates no rule.
@@ -261,11 +261,11 @@
 /// closed to make room has learned it.
 const CROWD_LINGER_TIME: Duration = Duration::from_millis(300);
 
-impl End {
+impl ProcessEnd {
     /// How long the machine kept the process from running after the kill; the same time is assumed
     /// before the kill. A killed process usually exits within milliseconds.
     fn starvation(&self) -> Duration {
-        let exit_time = self.gone.saturating_sub(self.killed);
+        let exit_time = self.exited_at.saturating_sub(self.kill_sent_at);
         if exit_time > STARVATION_THRESHOLD {
             exit_time
         } else {
@@ -275,22 +275,23 @@
 
     /// Whether this end of the process excuses the request. `since` is when the clients were
     /// started.
-    fn covers(&self, request: &Request, since: Duration, client_path: Way) -> bool {
-        let [from, written, opened] = [request.sent, request.written, request.opened].map(|at| since + at);
-        let held = if client_path == Way::ByProxy { MAX_PROXY_HOLD } else { Duration::ZERO };
-        let before = match self.told {
+    fn covers(&self, request: &Request, since: Duration, client_path: ClientPath) -> bool {
+        let [from, written, opened] =
+            [request.sent_at, request.written_at, request.connected_at].map(|at| since + at);
+        let held = if client_path == ClientPath::ByteProxy { MAX_PROXY_HOLD } else { Duration::ZERO };
+        let before = match self.term_sent_at {
             // If the kill came late, the process may have begun to exit before it.
             Some(told) => {
-                let answers_due_until = self.killed.min(told + MIN_SERVICE_AFTER_TERM);
+                let answers_due_until = self.kill_sent_at.min(told + MIN_SERVICE_AFTER_TERM);
                 written + CUT_MARGIN + held + self.starvation() > answers_due_until
             }
-            None => self.killed <= from + request.took + MAX_NOTICE_DELAY,
+            None => self.kill_sent_at <= from + request.took + MAX_NOTICE_DELAY,
         };
         let after = match client_path {
-            Way::ByProxy => self.back.is_none_or(|back| from <= back + held),
+            ClientPath::ByteProxy => self.next_ready_at.is_none_or(|back| from <= back + held),
             // Such a client learns of the end only by its next request.
-            Way::Direct if request.never_looks => opened <= self.gone,
-            Way::Direct => from <= self.gone + MAX_CHECK_TO_SEND_GAP,
+            ClientPath::Direct if request.never_checks => opened <= self.exited_at,
+            ClientPath::Direct => from <= self.exited_at + MAX_CHECK_TO_SEND_GAP,
         };
         before && after
     }
@@ -304,12 +305,12 @@
         self.pauses.iter().map(overlap).sum()
     }
 
-    fn find_excuse(&self, request: &Request, since: Duration, client_path: Way) -> Option<Excuse> {
+    fn find_excuse(&self, request: &Request, since: Duration, client_path: ClientPath) -> Option<Excuse> {
         if let Some(end) = self.ends.iter().find(|end| end.covers(request, since, client_path)) {
-            return Some(if end.told.is_some() { Excuse::Cut } else { Excuse::Killed });
+            return Some(if end.term_sent_at.is_some() { Excuse::Cut } else { Excuse::Killed });
         }
-        let checks_connection = !request.never_looks && client_path == Way::Direct;
-        (!checks_connection && self.is_crowded(since + request.sent)).then_some(Excuse::CrowdedOut)
+        let checks_connection = !request.never_checks && client_path == ClientPath::Direct;
+        (!checks_connection && self.is_crowded(since + request.sent_at)).then_some(Excuse::CrowdedOut)
     }
 
     /// Whether there were more clients than connections for them.
@@ -318,8 +319,9 @@
             at >= crowd.from && crowd.until.is_none_or(|until| at <= until + CROWD_LINGER_TIME)
         };
         let clients: usize = self.crowds.iter().filter(is_present).map(|crowd| crowd.clients).sum();
-        let is_shutting_down = |end: &End| {
-            end.told.is_some_and(|told| at >= told + SHUTDOWN_CONNECTIONS_FREED_AFTER) && at <= end.killed
+        let is_shutting_down = |end: &ProcessEnd| {
+            end.term_sent_at.is_some_and(|told| at >= told + SHUTDOWN_CONNECTIONS_FREED_AFTER)
+                && at <= end.kill_sent_at
         };
         let is_ending = self.ends.iter().any(is_shutting_down);
         clients > if is_ending { MIN_CLIENT_CONNECTIONS_AT_SHUTDOWN } else { MIN_CLIENT_CONNECTIONS }
@@ -347,18 +349,18 @@
 }
 
 /// Audits the requests at one assigner's address. `since` is when the clients were started.
-pub fn judge(
+pub fn audit_requests(
     node: usize,
     requests: &[Request],
     since: Duration,
-    client_path: Way,
+    client_path: ClientPath,
     excuses: &Excuses,
 ) -> RequestAudit {
     let mut audit = RequestAudit::default();
     for request in requests {
         audit.requests += 1;
         let unanswered = audit.unanswered;
-        let (from, until) = (since + request.sent, since + request.sent + request.took);
+        let (from, until) = (since + request.sent_at, since + request.sent_at + request.took);
         if !request.ending.is_answer() {
             let count = match excuses.find_excuse(request, since, client_path) {
                 Some(Excuse::Killed) => &mut audit.killed,
@@ -385,9 +387,9 @@
 
 impl RequestAudit {
     fn record_violation(&mut self, rule: Rule, node: usize, request: &Request, at: Duration) {
-        let Request { client, local, earlier, took, ending, .. } = request;
+        let Request { client, local_addr, earlier_requests, took, ending, .. } = request;
         let what = format!(
-            "n{node}: client {client} at {local}, {earlier} requests before: {ending:?} after {} ms",
+            "n{node}: client {client} at {local_addr}, {earlier_requests} requests before: {ending:?} after {} ms",
             took.as_millis()
         );
         self.violations.push(Violation { rule, at_ms: at.as_millis() as u64, what });
--- a/crates/whinhill-standins/src/platform/clients.rs
+++ b/crates/whinhill-standins/src/platform/clients.rs
@@ -28,17 +28,17 @@
 
 /// How many clients there are and how they behave.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct ClientPlan {
     pub clients: usize,
-    /// The first `never_look` clients never check whether the peer has closed the connection before
+    /// The first `never_check` clients never check whether the peer has closed the connection before
     /// they send a request.
-    pub never_look: usize,
+    pub never_check: usize,
     /// The last `half_close` clients close their side of the connection after each request.
     pub half_close: usize,
     /// Before each request a client waits for a time drawn uniformly from zero to this.
-    pub think_most: Duration,
+    pub max_think_time: Duration,
     /// A request without an answer within this time counts as unanswered.
-    pub answer_within: Duration,
+    pub answer_timeout: Duration,
     pub seed: u64,
 }
 
@@ -53,7 +53,7 @@
     EndOfStream,
     /// The connection broke.
     Reset,
-    /// Nothing came within [`Plan::answer_within`].
+    /// Nothing came within [`ClientPlan::answer_timeout`].
     Silent,
 }
 
@@ -69,16 +69,16 @@
 pub struct Request {
     pub client: usize,
     /// The client's end of the connection, as the assigner's log names it.
-    pub local: SocketAddr,
+    pub local_addr: SocketAddr,
     /// How many requests the connection had carried before.
-    pub earlier: u32,
+    pub earlier_requests: u32,
     /// When the connection was open and when the request was sent, since the start of the clients.
-    pub opened: Duration,
-    pub sent: Duration,
+    pub connected_at: Duration,
+    pub sent_at: Duration,
     /// When the system had accepted all of the request or had refused it.
-    pub written: Duration,
+    pub written_at: Duration,
     /// The client never checks whether the peer has closed the connection.
-    pub never_looks: bool,
+    pub never_checks: bool,
     pub took: Duration,
     pub ending: Ending,
 }
@@ -93,7 +93,7 @@
 
 impl Clients {
     /// Starts the clients of a plan. Fails if a thread cannot be started.
-    pub fn start(addr: SocketAddr, plan: Plan) -> io::Result<Self> {
+    pub fn start(addr: SocketAddr, plan: ClientPlan) -> io::Result<Self> {
         let started = Instant::now();
         let mut clients = Clients { started, stop: Arc::default(), threads: Vec::new() };
         for number in 0..plan.clients {
@@ -128,7 +128,7 @@
         self.finish();
         let joined = self.threads.drain(..).flat_map(|thread| thread.join().unwrap_or_default());
         let mut requests: Vec<Request> = joined.collect();
-        requests.sort_by_key(|request| request.sent);
+        requests.sort_by_key(|request| request.sent_at);
         requests
     }
 }
@@ -141,19 +141,19 @@
 
 /// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct RequestCounts {
     pub requests: usize,
     pub refused: usize,
     pub unanswered: usize,
     pub slowest: Duration,
 }
 
-impl Tally {
+impl RequestCounts {
     /// Counts requests by their endings; `slowest` considers only answered ones.
-    pub fn of(requests: &[Request]) -> Self {
+    pub fn from_requests(requests: &[Request]) -> Self {
         let count = |wanted: fn(Ending) -> bool| requests.iter().filter(|r| wanted(r.ending)).count();
         let answered = requests.iter().filter(|r| r.ending.is_answer());
-        Tally {
+        RequestCounts {
             requests: requests.len(),
             refused: count(|ending| ending == Ending::Refused),
             unanswered: count(|ending| !ending.is_answer()),
@@ -166,7 +166,7 @@
 struct Client {
     number: usize,
     addr: SocketAddr,
-    plan: Plan,
+    plan: ClientPlan,
     started: Instant,
     stop: Arc<AtomicBool>,
     random: ChaCha8Rng,
@@ -188,8 +188,8 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    fn never_looks(&self) -> bool {
-        self.number < self.plan.never_look
+    fn never_checks(&self) -> bool {
+        self.number < self.plan.never_check
     }
 
     fn half_closes(&self) -> bool {
@@ -198,32 +198,41 @@
 
     /// Sends requests on one connection until that ends or the clients are stopped.
     fn use_connection(&mut self, mut stream: TcpStream) -> io::Result<()> {
-        let (local, opened) = (stream.local_addr()?, self.started.elapsed());
+        let (local_addr, connected_at) = (stream.local_addr()?, self.started.elapsed());
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(self.plan.answer_within))?;
-        for earlier in 0.. {
-            let think = self.random.random_range(Duration::ZERO..=self.plan.think_most);
+        stream.set_read_timeout(Some(self.plan.answer_timeout))?;
+        for earlier_requests in 0.. {
+            let think = self.random.random_range(Duration::ZERO..=self.plan.max_think_time);
             thread::sleep(think);
-            if self.is_stopped() || !self.never_looks() && !is_open_and_idle(&stream)? {
+            if self.is_stopped() || !self.never_checks() && !is_open_and_idle(&stream)? {
                 break;
             }
-            let sent = self.started.elapsed();
+            let sent_at = self.started.elapsed();
             let mut send_result = stream.write_all(PROBE);
             if send_result.is_ok() && self.half_closes() {
                 send_result = stream.shutdown(Shutdown::Write);
             }
-            let written = self.started.elapsed();
+            let written_at = self.started.elapsed();
             let ending = match send_result {
                 Ok(()) => read_ending(&mut stream),
                 // The client had no other way to learn that the connection was gone.
-                Err(_) if self.never_looks() => Ending::Reset,
+                Err(_) if self.never_checks() => Ending::Reset,
                 // A request that could not be sent does not count.
                 Err(error) => return Err(error),
             };
-            let (client, never_looks) = (self.number, self.never_looks());
-            let took = self.started.elapsed() - sent;
-            let request =
-                Request { client, local, earlier, opened, sent, written, never_looks, took, ending };
+            let (client, never_checks) = (self.number, self.never_checks());
+            let took = self.started.elapsed() - sent_at;
+            let request = Request {
+                client,
+                local_addr,
+                earlier_requests,
+                connected_at,
+                sent_at,
+                written_at,
+                never_checks,
+                took,
+                ending,
+            };
             self.requests.push(request);
             if ending != Ending::Answered || self.half_closes() {
                 break;
--- a/crates/whinhill-standins/src/platform/node.rs
+++ b/crates/whinhill-standins/src/platform/node.rs
@@ -11,8 +11,8 @@
 
 use rustix::process::Signal;
 
-use super::audit::{judge, Crowd, End, Excuses, RequestAudit, Rule, Violation, Way};
-use super::clients::{Clients, Plan};
+use super::audit::{audit_requests, ClientPath, Crowd, Excuses, ProcessEnd, RequestAudit, Rule, Violation};
+use super::clients::{ClientPlan, Clients};
 use super::collectors::Collectors;
 use super::parameters::*;
 use super::process::{Process, StartOptions};
@@ -217,7 +217,7 @@
 
     fn start_direct_clients(&mut self, clients: usize, until: Option<Duration>) -> io::Result<()> {
         let addr = self.sabotaged_link.as_ref().map_or(self.start.addr, Link::addr);
-        let plan = Plan { never_look: clients / NEVER_LOOK_DIVISOR, ..self.plan(clients) };
+        let plan = ClientPlan { never_check: clients / NEVER_LOOK_DIVISOR, ..self.plan(clients) };
         self.start_clients(addr, plan, until, None)
     }
 
@@ -225,23 +225,30 @@
     /// end of one side alone.
     fn start_byte_proxy_clients(&mut self, bytes: usize, until: Duration) -> io::Result<()> {
         let proxy = link(self.start.addr)?;
-        proxy.cut_into_pieces(bytes);
-        proxy.half_close(true);
-        let plan = Plan { half_close: BYTE_PROXY_CLIENTS / 2, ..self.plan(BYTE_PROXY_CLIENTS) };
+        proxy.set_piece_bytes(bytes);
+        proxy.forward_half_close(true);
+        let plan = ClientPlan { half_close: BYTE_PROXY_CLIENTS / 2, ..self.plan(BYTE_PROXY_CLIENTS) };
         self.start_clients(proxy.addr(), plan, Some(until), Some(proxy))
     }
 
-    fn plan(&self, clients: usize) -> Plan {
+    fn plan(&self, clients: usize) -> ClientPlan {
         let now = self.environment.platform.lock().now();
         let seed = self.environment.seed ^ (self.number as u64) << 20 ^ now.as_millis() as u64;
-        let answer_within = Duration::from_secs(5);
-        Plan { clients, never_look: 0, half_close: 0, think_most: MAX_THINK_TIME, answer_within, seed }
+        let answer_timeout = Duration::from_secs(5);
+        ClientPlan {
+            clients,
+            never_check: 0,
+            half_close: 0,
+            max_think_time: MAX_THINK_TIME,
+            answer_timeout,
+            seed,
+        }
     }
 
     fn start_clients(
         &mut self,
         addr: SocketAddr,
-        plan: Plan,
+        plan: ClientPlan,
         until: Option<Duration>,
         proxy: Option<Link>,
     ) -> io::Result<()> {
@@ -288,12 +295,12 @@
                 Ok(())
             }
             Action::Cut { path, time, .. } => {
-                self.path(*path).cut(true);
+                self.path(*path).set_down(true);
                 self.schedule_repair(*path, now, *time);
                 Ok(())
             }
             Action::Stall { path, direction, time, .. } => {
-                self.path(*path).stall(*direction, true);
+                self.path(*path).set_stalled(*direction, true);
                 self.schedule_repair(*path, now, *time);
                 if *path == Path::Discovery {
                     self.environment.platform.lock().nodes[self.number].lists_held_until = now + *time;
@@ -312,8 +319,8 @@
             }
             Action::Crowd { clients, time, .. } => self.start_direct_clients(*clients, Some(now + *time)),
             Action::Pieces { bytes, time, .. } => {
-                self.paths.relay.cut_into_pieces(bytes * RELAY_PIECE_FACTOR);
-                self.paths.relay.half_close(true);
+                self.paths.relay.set_piece_bytes(bytes * RELAY_PIECE_FACTOR);
+                self.paths.relay.forward_half_close(true);
                 self.repairs.push(PathRepair { at: now + *time, path: Path::Relay });
                 self.start_byte_proxy_clients(*bytes, now + *time)
             }
@@ -387,7 +394,12 @@
         }
         let mut platform = self.environment.platform.lock();
         platform.nodes[self.number].watchers.clear();
-        self.excuses.ends.push(End { told: self.term_sent_at, killed, gone: platform.now(), back: None });
+        self.excuses.ends.push(ProcessEnd {
+            term_sent_at: self.term_sent_at,
+            kill_sent_at: killed,
+            exited_at: platform.now(),
+            next_ready_at: None,
+        });
         drop(platform);
         (self.term_sent_at, self.kill_at, self.paused) = (None, None, None);
         self.restart_at = Some(now + down);
@@ -419,7 +431,10 @@
         if now >= self.sabotage_at {
             self.sabotage_at = now + SABOTAGE_INTERVAL;
             let lost = self.environment.sabotage == Some(Sabotage::LostAnswers);
-            self.sabotaged_link.iter().filter(|_| lost).for_each(|link| link.break_after(SABOTAGED_BYTES));
+            self.sabotaged_link
+                .iter()
+                .filter(|_| lost)
+                .for_each(|link| link.break_after_bytes(SABOTAGED_BYTES));
         }
         Ok(())
     }
@@ -430,7 +445,7 @@
             let mut platform = self.environment.platform.lock();
             platform.nodes[self.number].first_answer_at = Some(now);
             platform.note(format!("n{} answers", self.number));
-            self.excuses.ends.iter_mut().for_each(|end| end.back = end.back.or(Some(now)));
+            self.excuses.ends.iter_mut().for_each(|end| end.next_ready_at = end.next_ready_at.or(Some(now)));
             self.ready.extend(process.ready_after);
         }
         let late = process.ready_after.is_none() && now > self.started_at + MAX_START_TIME;
@@ -445,15 +460,15 @@
     fn repair_paths(&mut self, now: Duration) {
         for repair in self.repairs.extract_if(.., |repair| repair.at <= now).collect::<Vec<_>>() {
             let path = self.path(repair.path);
-            path.cut(false);
-            path.stall(Direction::Both, false);
+            path.set_down(false);
+            path.set_stalled(Direction::Both, false);
             path.set_delay(Duration::ZERO);
-            path.cut_into_pieces(0);
-            path.half_close(false);
+            path.set_piece_bytes(0);
+            path.forward_half_close(false);
         }
         for (_, paths) in self.former_paths.iter().filter(|(at, _)| *at <= now) {
-            paths.relay.cut(true);
-            paths.discovery.cut(true);
+            paths.relay.set_down(true);
+            paths.discovery.set_down(true);
         }
         self.former_paths.retain(|(at, _)| *at > now);
         if self.lists_on_time_at.is_some_and(|at| at <= now) {
@@ -475,9 +490,9 @@
 
     fn audit_group(&mut self, group: ClientGroup) {
         let since = self.since_start(&group.clients);
-        let client_path = if group.proxy.is_some() { Way::ByProxy } else { Way::Direct };
+        let client_path = if group.proxy.is_some() { ClientPath::ByteProxy } else { ClientPath::Direct };
         let requests = group.clients.stop();
-        self.request_audit.add(judge(self.number, &requests, since, client_path, &self.excuses));
+        self.request_audit.add(audit_requests(self.number, &requests, since, client_path, &self.excuses));
     }
 
     /// Stops the clients and returns the audit of their requests.
--- a/crates/whinhill-standins/src/platform/process.rs
+++ b/crates/whinhill-standins/src/platform/process.rs
@@ -12,7 +12,7 @@
 use rustix::process::Signal;
 
 use super::parameters::{settings, MAX_DESCRIPTORS, MAX_MEMORY_MB};
-use crate::running::{kill, signal};
+use crate::running::{kill, send_signal};
 
 /// A start that takes longer has failed (standing test, "The gate").
 const MAX_START_TIME: Duration = Duration::from_secs(30);
@@ -87,7 +87,7 @@
 
     /// Sends a signal to the process.
     pub fn signal(&self, sent: Signal) {
-        signal(&self.child, sent);
+        send_signal(&self.child, sent);
     }
 
     /// Whether the process has ended.
--- a/crates/whinhill-standins/src/platform/soak.rs
+++ b/crates/whinhill-standins/src/platform/soak.rs
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     pub seed: u64,
-    pub time: Duration,
+    pub duration: Duration,
     /// The kinds of trouble; if empty, the seed draws them.
-    pub only: Vec<Trouble>,
+    pub troubles: Vec<Trouble>,
     pub sabotage: Option<Sabotage>,
     /// The `whinhill` program.
     pub program: PathBuf,
@@ -105,7 +105,7 @@
 impl<'a> Soak<'a> {
     fn start(options: &'a Options) -> io::Result<Self> {
         fs::create_dir_all(&options.folder)?;
-        let script = Script::draw(options.seed, options.time, &options.only);
+        let script = Script::draw(options.seed, options.duration, &options.troubles);
         let platform = Arc::new(SharedState::new(PlatformState::new(
             script.nodes,
             script.proxies,
@@ -149,7 +149,7 @@
         let action_count = actions.len();
         loop {
             let now = self.platform.lock().now();
-            if now >= self.options.time {
+            if now >= self.options.duration {
                 break;
             }
             while let Some((_, action)) = actions.next_if(|(at, _)| *at <= now) {
@@ -235,7 +235,7 @@
             requests.add(node.stop_clients());
         }
         let (tested, reference) = (&self.traffic.tested, &self.traffic.reference);
-        let mut shares = rpc_shares::compare(&tested.counts, &reference.counts, self.options.time);
+        let mut shares = rpc_shares::compare(&tested.counts, &reference.counts, self.options.duration);
         let lost = tested.lost_by_stage();
         self.write_lost_rpcs()?;
         let mut violations = std::mem::take(&mut self.table_audit.violations);
@@ -287,7 +287,7 @@
         let violations =
             channels.filter(|(_, queued)| *queued > MAX_CHANNEL_BACKLOG).map(|(node, queued)| Violation {
                 rule: Rule::Backlog,
-                at_ms: self.options.time.as_millis() as u64,
+                at_ms: self.options.duration.as_millis() as u64,
                 what: format!("n{node}: {queued:.0} lines queued, at most {MAX_CHANNEL_BACKLOG:.0}"),
             });
         violations.collect()
--- a/crates/whinhill-standins/src/roster.rs
+++ b/crates/whinhill-standins/src/roster.rs
@@ -16,7 +16,7 @@
 use whinhill_xds::proto::{self, metadata, number_value};
 use whinhill_xds::{Cache, Entry, Kind, Request, ServerStream, Variant};
 
-use crate::record::{Event, Recorder};
+use crate::recorder::{Event, Recorder};
 
 /// The name of the EDS resource that lists the fleet's servers.
 pub const EDS_RESOURCE: &str = "fleet";
--- a/crates/whinhill-standins/src/running.rs
+++ b/crates/whinhill-standins/src/running.rs
@@ -43,17 +43,17 @@
     /// The current figures of a proxy of this process.
     pub fn of(proxy: &Proxy) -> Self {
         let get = |counter: &std::sync::atomic::AtomicU64| counter.load(std::sync::atomic::Ordering::Relaxed);
-        let counts = proxy.counts();
-        let (connections, in_hand) = proxy.standing();
+        let counts = proxy.counters();
+        let (connections, in_hand) = proxy.connection_usage();
         ProxyFigures {
-            held: proxy.held().0,
+            held: proxy.table_counts().0,
             forwarded: get(&counts.forwarded),
             refused: get(&counts.refused),
             aborted: get(&counts.aborted),
             stopped: get(&counts.stopped),
             connections,
             in_hand,
-            pause_us_most: get(&counts.pause_us_most),
+            pause_us_most: get(&counts.max_pause_us),
             rejected: get(&counts.rejected),
             reconnects: get(&counts.reconnects),
         }
@@ -114,7 +114,7 @@
 }
 
 /// Sends a signal to a process.
-pub fn signal(child: &Child, signal: Signal) {
+pub fn send_signal(child: &Child, signal: Signal) {
     if let Some(Err(error)) = Pid::from_raw(child.id() as i32).map(|pid| kill_process(pid, signal)) {
         warn!(%error, "the signal could not be sent");
     }
--- a/crates/whinhill-standins/src/server.rs
+++ b/crates/whinhill-standins/src/server.rs
@@ -18,7 +18,7 @@
 use whinhill_xds::proto::{HealthCheckResponse, OrcaLoadReport};
 use whinhill_xds::{encode_base64, HEALTH_PATH, ORCA_TRAILER};
 
-use crate::record::{Event, Recorder};
+use crate::recorder::{Event, Recorder};
 
 /// The current faults of a server.
 #[derive(Clone, Debug, Default)]
@@ -48,13 +48,13 @@
     /// Whether it starts cold.
     pub cold: bool,
     /// The share of its full capacity that it has when it starts cold.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// How long it then takes to reach its full capacity.
-    pub warm_after: Duration,
+    pub warm_up: Duration,
     /// Most RPCs that wait for a core.
-    pub queue_most: usize,
+    pub max_queue: usize,
     /// Mean work of each method, in core-seconds.
-    pub work: Vec<f64>,
+    pub mean_work: Vec<f64>,
     pub service: Arc<Service>,
     pub seed: u64,
 }
@@ -80,13 +80,13 @@
 }
 
 /// A running server. Dropping it ends it at once: its connections break and unfinished work is lost.
-pub struct Server {
+pub struct ServerStandIn {
     inner: Arc<Inner>,
     _listener: Listener,
     _drivers: Drivers,
 }
 
-impl Server {
+impl ServerStandIn {
     /// Starts a server that serves RPCs on the threads of `workers`.
     pub fn start(config: ServerConfig, workers: &Workers, recorder: &Recorder) -> io::Result<Self> {
         // The server has its own driver, so that dropping the server ends its connections, as the end of a process would.
@@ -113,7 +113,7 @@
             served: AtomicU64::new(0),
         });
         let _ = inner_cell.set(inner.clone());
-        Ok(Server { inner, _listener: listener, _drivers: drivers })
+        Ok(ServerStandIn { inner, _listener: listener, _drivers: drivers })
     }
 
     /// Its name: the address at which it listens.
@@ -142,8 +142,8 @@
         if !self.config.cold {
             return 1.0;
         }
-        let age = self.started.elapsed().as_secs_f64() / self.config.warm_after.as_secs_f64().max(1e-3);
-        (self.config.cold_from + (1.0 - self.config.cold_from) * age).min(1.0)
+        let age = self.started.elapsed().as_secs_f64() / self.config.warm_up.as_secs_f64().max(1e-3);
+        (self.config.cold_capacity + (1.0 - self.config.cold_capacity) * age).min(1.0)
     }
 
     /// Trailers with the server's current load, as an ORCA report.
@@ -182,7 +182,7 @@
         let proxy: Arc<str> = call.header("whinhill-proxy").unwrap_or("?").into();
         let method_spec = &self.config.service.methods[method];
         let (write, once) = (method_spec.writes, method_spec.effect == Effect::NonIdempotent);
-        let mean_work = self.config.work[method];
+        let mean_work = self.config.mean_work[method];
         let (work, faults, fails, loses_answer) = {
             let mut state = self.state();
             let faults = state.faults.clone();
@@ -235,7 +235,7 @@
     /// Waits for a core. False if the queue is full or the client has cancelled the call.
     fn acquire_core(&self, call: &mut ServerCall) -> bool {
         let mut state = self.state();
-        if state.queued >= self.config.queue_most {
+        if state.queued >= self.config.max_queue {
             drop(state);
             return false;
         }
--- a/crates/whinhill-standins/src/store.rs
+++ b/crates/whinhill-standins/src/store.rs
@@ -15,7 +15,7 @@
 use redis_protocol::resp2::types::BytesFrame as Frame;
 use whinhill_store::Record;
 
-use crate::record::{Event, Recorder};
+use crate::recorder::{Event, Recorder};
 
 #[derive(Default)]
 struct Data {
--- a/crates/whinhill-standins/tests/byte_proxy.rs
+++ b/crates/whinhill-standins/tests/byte_proxy.rs
@@ -33,7 +33,7 @@
 fn half_close_is_forwarded_and_the_answer_still_arrives() {
     let (addr, served) = start_server(b"an answer");
     let link = Link::start(addr, |_| {}).unwrap();
-    link.half_close(true);
+    link.forward_half_close(true);
     let mut stream = TcpStream::connect(link.addr()).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.write_all(b"a request").unwrap();
@@ -47,8 +47,8 @@
 fn stream_is_split_into_pieces_without_loss() {
     let (addr, served) = start_server(b"an answer in pieces");
     let link = Link::start(addr, |_| {}).unwrap();
-    link.half_close(true);
-    link.cut_into_pieces(2);
+    link.forward_half_close(true);
+    link.set_piece_bytes(2);
     let mut stream = TcpStream::connect(link.addr()).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let request: Vec<u8> = (0..200).collect();
