--- a/crates/whinhill-cli/tests/ending.rs
+++ b/crates/whinhill-cli/tests/ending.rs
@@ -320,7 +320,7 @@
     assert!(!discovery.has_new_watch(), "discovery was called after SIGTERM");
     let log = assigner.read_log_until(" ends ");
     let is_connection_loss =
-        |line: &&String| line.contains("no news of the relay") || line.contains("discovery fails");
+        |line: &&String| line.contains("relay watch lost") || line.contains("discovery fails");
     assert_eq!(log.iter().find(is_connection_loss), None, "{log:#?}");
 }
 
--- a/crates/whinhill-cli/tests/owed_answers.rs
+++ b/crates/whinhill-cli/tests/owed_answers.rs
@@ -270,7 +270,7 @@
     let new_relay = Relay::start("s-1", sender);
     fs::rename(&path, folder.path().join("away")).unwrap();
     assigner.signal(Signal::HUP);
-    assigner.wait_for_log("the configuration in force stays");
+    assigner.wait_for_log("the current configuration stays in force");
     fs::write(&path, config(new_relay.addr, discovery.addr)).unwrap();
     wait_for_event(&events, "a watch stream at the new relay", |event| {
         *event == StandInEvent::RelayWatchOpened
@@ -328,7 +328,7 @@
     assigner.signal(Signal::TERM);
     let log = assigner.read_log_until(" ends ");
     let is_connection_loss =
-        |line: &&String| line.contains("no news of the relay") || line.contains("discovery fails");
+        |line: &&String| line.contains("relay watch lost") || line.contains("discovery fails");
     assert_eq!(log.iter().find(is_connection_loss), None, "{log:#?}");
 }
 
--- a/crates/whinhill-cli/tests/platform.rs
+++ b/crates/whinhill-cli/tests/platform.rs
@@ -213,7 +213,7 @@
     let relay = Relay::start_with("s-gone", Behavior::AnswersFirstTwice, sender);
     fs::write(&path, config(relay.addr, discovery)).unwrap();
     let (assigner, _) = AssignerProcess::start(&path);
-    assigner.wait_for_log("out of step");
+    assigner.wait_for_log("unexpected answer");
     wait_for_event(&events, "a grant", is_grant);
     // One for the watch stream, one with the duplicate answer, one for the calls after it.
     assert!(relay.streams.lock().unwrap().len() >= 3);
--- a/crates/whinhill-cli/tests/silent_links.rs
+++ b/crates/whinhill-cli/tests/silent_links.rs
@@ -79,7 +79,7 @@
     let (assigner, _) = AssignerProcess::start(&path);
     stand_ins.discovery.wait_for_watch();
     stand_ins.wait_for_relay_watch();
-    assigner.wait_for_log("news of the relay stand");
+    assigner.wait_for_log("relay watch synchronized");
     link.set_stalled(Direction::To, true);
     stand_ins.discovery.send_list(&list_change());
     assigner.wait_for_log("a call's outcome is unknown");
@@ -96,12 +96,12 @@
     let (_folder, path) = write_config(&config(link.addr(), stand_ins.discovery.addr));
     let (assigner, _) = AssignerProcess::start(&path);
     stand_ins.discovery.wait_for_watch();
-    assigner.wait_for_log("news of the relay stand");
+    assigner.wait_for_log("relay watch synchronized");
     link.set_stalled(Direction::Back, true);
-    assigner.wait_for_log("no news of the relay");
+    assigner.wait_for_log("relay watch lost");
     stand_ins.discovery.send_list(&list_change());
     link.set_stalled(Direction::Back, false);
-    assigner.wait_for_log("news of the relay stand");
+    assigner.wait_for_log("relay watch synchronized");
     stand_ins.wait_for_grant();
 }
 
@@ -169,7 +169,7 @@
         stand_ins.events.try_iter().filter(|event| *event != StandInEvent::RelayWatchOpened).collect();
     assert_eq!(calls, []);
     restore(&link);
-    assigner.wait_for_log("news of the relay stand");
+    assigner.wait_for_log("relay watch synchronized");
     stand_ins.discovery.use_newest_watch();
     stand_ins.send_change_and_wait_for_grant();
 }
--- a/crates/whinhill-node/src/relay.rs
+++ b/crates/whinhill-node/src/relay.rs
@@ -84,7 +84,7 @@
             warn!(
                 proxies = self.relay_watch.proxy_count(),
                 slices = self.relay_watch.slice_count(),
-                "no news of the relay: {why}"
+                "relay watch lost: {why}"
             );
         }
         self.deadlines.clear(DeadlineKind::RelayWatch(slot));
@@ -175,7 +175,7 @@
                     (self.relay_watch_retry_delay, self.relay_watch_failing) =
                         (MIN_RELAY_WATCH_RETRY_DELAY, false);
                     let (proxies, slices) = (self.relay_watch.proxy_count(), self.relay_watch.slice_count());
-                    info!(proxies, slices, again = after_break, "news of the relay stand");
+                    info!(proxies, slices, again = after_break, "relay watch synchronized");
                     if after_break {
                         self.relay_calls.request_last_ack_again(now);
                     }
@@ -256,7 +256,7 @@
         let has_more = !lines.partial_line().is_empty();
         if !self.relay_calls.has_call_in_flight() || has_more {
             // The extra data answers no call; the next call would take it for its own answer.
-            return self.handle_lost_call("out of step");
+            return self.handle_lost_call("unexpected answer");
         }
         self.deadlines.clear(DeadlineKind::ConnectionTimeout(id));
         self.call_connection_used_at = now;
--- a/crates/whinhill-node/src/reloading.rs
+++ b/crates/whinhill-node/src/reloading.rs
@@ -39,7 +39,7 @@
             Ok(new) => new,
             Err(error) => {
                 if !std::mem::replace(&mut self.config_error_logged, true) {
-                    warn!("the configuration in force stays: {error}");
+                    warn!("the current configuration stays in force: {error}");
                 }
                 let now = self.clock.now();
                 if matches!(error, NodeError::Read { .. }) && now < self.config_retry_until {
