--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -328,7 +328,7 @@
     let handler = move |call: ServerCall| {
         let requests = requests.clone();
         let full =
-            |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many requests", Trailers::new());
+            |call: ServerCall| call.refuse(Code::ResourceExhausted, "too many questions", Trailers::new());
         workers.run_with(call, move |call| answer_operator(call, &requests), full);
     };
     Listener::start(&format!("{name}-operators"), addr, limits, drivers, handler)
@@ -343,7 +343,7 @@
     let message = call.message(OPERATOR_TIMEOUT).map_err(|error| error.to_string());
     let decoded = message.and_then(|message| {
         serde_json::from_slice::<OperatorRequest>(&message)
-            .map_err(|error| format!("not a valid request: {error}"))
+            .map_err(|error| format!("not a question: {error}"))
     });
     let request = match decoded {
         Ok(request) => request,
@@ -359,7 +359,7 @@
         }
         None => call.refuse(
             Code::Unavailable,
-            "no answer in time; a rollback may have begun: check with `rollbacks`",
+            "no answer in time; a rollback may have begun: look with `rollbacks`",
             Trailers::new(),
         ),
     }
--- a/crates/whinhill-assigner/src/operator_handler.rs
+++ b/crates/whinhill-assigner/src/operator_handler.rs
@@ -64,12 +64,8 @@
             result.unwrap_or_else(OperatorResponse::Refused)
         }
         OperatorRequest::Rollbacks => rollbacks_answer(recorder),
-        OperatorRequest::Reports => {
-            OperatorResponse::Refused("requests for reports are answered by the intake".into())
-        }
-        OperatorRequest::Proxies => {
-            OperatorResponse::Refused("requests for proxies are answered by the streams".into())
-        }
+        OperatorRequest::Reports => OperatorResponse::Refused("reports are told of by the intake".into()),
+        OperatorRequest::Proxies => OperatorResponse::Refused("proxies are told of by the streams".into()),
     }
 }
 
@@ -100,7 +96,7 @@
         VersionSelector::Current => Ok(history.current().id().number),
         VersionSelector::UnixMs(unix_ms) => history
             .version_at(unix_ms)
-            .ok_or_else(|| "no version in the history was current at that time".to_string()),
+            .ok_or_else(|| "no version that is kept stood at that time".to_string()),
         VersionSelector::LastGood => {
             history.last_good().ok_or_else(|| "no version before this one is marked good".to_string())
         }
@@ -143,7 +139,7 @@
 ) -> Result<OperatorResponse, String> {
     let RollbackRequest { to, slices, by, dry_run, within } = request;
     if by.trim().is_empty() || by.len() > 200 {
-        return Err("the requester must be named, in 1 to 200 bytes".into());
+        return Err("who orders it must be said, in 1 to 200 bytes".into());
     }
     let plan = recorder.dry_run(to, published, slices.as_ref(), fleet).map_err(|e| e.to_string())?;
     let version = recorder.history().rebuild(to).ok_or_else(|| format!("version {to} is not kept"))?;
