--- a/crates/whinhill/src/settings.rs
+++ b/crates/whinhill/src/settings.rs
@@ -36,7 +36,8 @@
     pub methods_by_criticality: Vec<usize>,
     /// The mean soft deadline of the methods, in seconds.
     pub mean_soft_deadline_s: f64,
-    /// The number of tries of an RPC that levels tell proxies.
+    /// The retry policy that levels tell proxies. 0: no further try; 1: one, after proof that the first never ran; 2: one,
+    /// and 3: two, after any failure.
     pub tries: u8,
     /// The time between evaluations of the fleet, and between reports.
     pub period: Duration,
