--- a/crates/whinhill/src/assigner/load.rs
+++ b/crates/whinhill/src/assigner/load.rs
@@ -105,9 +105,9 @@
         let (known_load, known_demand) =
             known.fold((0.0, 0.0), |(loads, demands), (load, demand)| (loads + load, demands + demand));
         let usual_unit = if known_demand > 0.0 { known_load / known_demand } else { 0.0 };
-        // Lost tries show that the load is larger than that. A cold server must not show it by collapsing, and
-        // nothing else is known after a restart of this assigner, which has learned no capacity yet. Where tries are lost for another reason, cold servers get
-        // their load later than they could.
+        // Lost tries show that the load is larger than that. A cold server must not show it by collapsing, and nothing
+        // else is known after a restart of this assigner, which has learned no capacity yet. Where tries are lost for
+        // another reason, cold servers get their load later than they could.
         let sum = |f: fn(&Server) -> &DecayingSum| {
             ready.iter().map(|s| f(s).read(now, self.half_life)).sum::<f64>()
         };
