--- a/crates/whinhill-xds/src/cache.rs
+++ b/crates/whinhill-xds/src/cache.rs
@@ -129,6 +129,7 @@
 
 /// Encodes one resource as field 2 of a reply, which it is in both variants.
 fn encode_field(message: &impl Message) -> Bytes {
+    // One byte for the key and up to five for the length.
     let mut bytes = Vec::with_capacity(message.encoded_len() + 6);
     encode_key(2, WireType::LengthDelimited, &mut bytes);
     encode_varint(message.encoded_len() as u64, &mut bytes);
@@ -140,10 +141,10 @@
 /// All resources, by type and name.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
-    kinds: [BTreeMap<Arc<str>, Arc<CachedResource>>; 4],
+    by_kind: [BTreeMap<Arc<str>, Arc<CachedResource>>; 4],
     revision: u64,
     /// Counts additions and removals of names.
-    names: u64,
+    names_revision: u64,
 }
 
 impl Cache {
@@ -151,36 +152,36 @@
     pub fn set(&mut self, kind: Kind, name: impl AsRef<str>, entry: Entry) {
         self.revision += 1;
         let name = name.as_ref();
-        let kinds = &mut self.kinds[kind.index()];
-        let name = kinds.get(name).map_or_else(|| name.into(), |cached| cached.name.clone());
+        let resources = &mut self.by_kind[kind.index()];
+        let name = resources.get(name).map_or_else(|| name.into(), |cached| cached.name.clone());
         let cached =
             CachedResource { kind, name: Arc::clone(&name), entry, encoded_fields: Default::default() };
-        if kinds.insert(name, Arc::new(cached)).is_none() {
-            self.names += 1;
+        if resources.insert(name, Arc::new(cached)).is_none() {
+            self.names_revision += 1;
         }
     }
 
     /// Removes a resource, if it is there.
     pub fn remove(&mut self, kind: Kind, name: &str) {
-        if self.kinds[kind.index()].remove(name).is_some() {
+        if self.by_kind[kind.index()].remove(name).is_some() {
             self.revision += 1;
-            self.names += 1;
+            self.names_revision += 1;
         }
     }
 
     /// The resource with this name.
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Arc<CachedResource>> {
-        self.kinds[kind.index()].get(name)
+        self.by_kind[kind.index()].get(name)
     }
 
     /// All names of a type, in order.
     pub fn names(&self, kind: Kind) -> impl Iterator<Item = &str> {
-        self.kinds[kind.index()].keys().map(|name| &**name)
+        self.by_kind[kind.index()].keys().map(|name| &**name)
     }
 
     /// All entries of a type, by name.
     pub fn all(&self, kind: Kind) -> impl Iterator<Item = &Arc<CachedResource>> {
-        self.kinds[kind.index()].values()
+        self.by_kind[kind.index()].values()
     }
 
     /// The shared copy of a name, or a new copy if there is no such resource.
@@ -190,12 +191,12 @@
 
     /// Number of resources of a type.
     pub fn len(&self, kind: Kind) -> usize {
-        self.kinds[kind.index()].len()
+        self.by_kind[kind.index()].len()
     }
 
     /// Whether there are no resources at all.
     pub fn is_empty(&self) -> bool {
-        self.kinds.iter().all(BTreeMap::is_empty)
+        self.by_kind.iter().all(BTreeMap::is_empty)
     }
 
     /// Increases with every change.
@@ -205,6 +206,6 @@
 
     /// Increases whenever a name is added or removed.
     pub(crate) fn names_revision(&self) -> u64 {
-        self.names
+        self.names_revision
     }
 }
--- a/crates/whinhill-xds/src/client.rs
+++ b/crates/whinhill-xds/src/client.rs
@@ -9,7 +9,7 @@
 use crate::cache::{Kind, WRAPPER_URL};
 use crate::holdings::{holdings_hash, node_with_hash};
 use crate::proto::{self, from_proto_duration, Any, DeltaDiscoveryRequest, DiscoveryRequest, Node, Status};
-use crate::{Request, Response, Variant};
+use crate::{Request, Response, Variant, MAX_URL_CHARS};
 
 /// Node feature of a client that accepts wrapped resources in the state of the world, and so their TTLs.
 pub const FEATURE_WRAPPED: &str = "xds.config.resource-in-sotw";
@@ -59,7 +59,7 @@
     set_version: String,
     nonce: String,
     requested: bool,
-    /// Updates accepted since the hash of the held resources was last sent.
+    /// Updates of this type accepted since the hash was last sent.
     updates_since_hash: u32,
 }
 
@@ -73,7 +73,7 @@
     sends_hash: bool,
 }
 
-/// Number of accepted updates after which an ACK carries the hash of the held resources.
+/// Number of accepted updates of load assignments after which an ACK carries their hash.
 const UPDATES_PER_HASH: u32 = 16;
 
 impl ClientStream {
@@ -85,8 +85,8 @@
         ClientStream { variant, node, subscriptions: Default::default(), is_open: false, sends_hash: false }
     }
 
-    /// Makes some ACKs carry the hash of the held resources (`holdings.rs`), so that the control plane can
-    /// compare it.
+    /// Makes some ACKs of load assignments carry the hash of the held load assignments (`holdings.rs`), so that
+    /// the control plane can compare it.
     pub fn send_holdings_hash(&mut self) {
         self.sends_hash = true;
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Decodes a reply. What can't be decoded is named in the update's `fault`.
+    /// Decodes a reply. What can't be decoded is named in the update's `error`.
     pub fn decode_reply(&mut self, response: &Response) -> Result<Update, UpdateError> {
         match (response, self.variant) {
             (Response::Incremental(reply), Variant::Incremental) => {
@@ -201,6 +201,8 @@
                         Err(fault) => update.error = Some(fault),
                     }
                 }
+                // A reply of heartbeats alone renews TTLs and does not list all resources: nothing counts as
+                // removed.
                 let only_heartbeats =
                     !update.resources.is_empty() && update.resources.iter().all(|r| r.body.is_none());
                 if kind.lists_all_resources() && !only_heartbeats {
@@ -284,6 +286,7 @@
     fn full_request(&self, kind: Kind, error_detail: Option<Status>) -> Request {
         let subscription = &self.subscriptions[kind.index()];
         let mut resource_names: Vec<String> = subscription.names.iter().cloned().collect();
+        // An empty list already means the wildcard; beside names it must be written out.
         if subscription.wildcard && !subscription.names.is_empty() {
             resource_names.push("*".to_string());
         }
@@ -299,7 +302,8 @@
 }
 
 fn kind_from_url(url: &str) -> Result<Kind, UpdateError> {
-    Kind::from_type_url(url).ok_or_else(|| UpdateError::UnknownType(url.chars().take(120).collect()))
+    Kind::from_type_url(url)
+        .ok_or_else(|| UpdateError::UnknownType(url.chars().take(MAX_URL_CHARS).collect()))
 }
 
 /// Adds a resource to an update, or the reason why it can't be decoded.
--- a/crates/whinhill-xds/src/holdings.rs
+++ b/crates/whinhill-xds/src/holdings.rs
@@ -1,5 +1,5 @@
-//! A hash of the resources that a client holds, which both ends compute alike: the sum of the hashes of each
-//! name and version.
+//! A hash of the resources of one type that a client holds, which both ends compute alike: the sum of the
+//! hashes of each name and version.
 //!
 //! Both ends record names and versions as replies are acknowledged. If their hashes differ, the client is using
 //! a resource other than the one it acknowledged. Clients of this project send their hash with some of their
--- a/crates/whinhill-xds/src/lib.rs
+++ b/crates/whinhill-xds/src/lib.rs
@@ -51,6 +51,9 @@
 /// The trailer in which a server reports its load (ORCA).
 pub const ORCA_TRAILER: &str = "endpoint-load-metrics-bin";
 
+/// Maximum length of a peer's type URL in an error, in characters; longer ones are cut.
+pub(crate) const MAX_URL_CHARS: usize = 120;
+
 /// A message from a client, of either variant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
--- a/crates/whinhill-xds/src/mapping.rs
+++ b/crates/whinhill-xds/src/mapping.rs
@@ -23,6 +23,8 @@
 /// The category of the drop fraction that represents a level.
 const LEVEL_CATEGORY: &str = "level";
 const MILLION: u32 = 1_000_000;
+/// The discovery type of a cluster whose endpoints come from EDS.
+const EDS: i32 = 3;
 
 /// Whether an RPC of a method may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,9 +57,12 @@
     pub name: String,
     /// The RPC's path, `/package.Service/Method`.
     pub path: String,
+    /// Whether its RPCs are writes, which are sent only within a write lease.
     pub writes: bool,
     pub effect: Effect,
+    /// Upper limit of an RPC's soft deadline; applies where the client sets none.
     pub soft_deadline: Duration,
+    /// Upper limit of an RPC's deadline; applies where the client sets none.
     pub deadline: Duration,
 }
 
@@ -90,7 +95,8 @@
         format!("{}/{slice}.{}/{}", self.name, self.slices, self.methods[method].name)
     }
 
-    /// Parses a cluster name into slice and method; `None` if it names none of this service.
+    /// Parses a cluster name into slice and method; `None` if it is not the name of one of this service's, for
+    /// example because it has another number of slices.
     pub fn parse_cluster_name(&self, name: &str) -> Option<(SliceId, MethodId)> {
         let (slice, method) = name.strip_prefix(&self.name)?.strip_prefix('/')?.split_once('/')?;
         let method = self.methods.iter().position(|m| m.name == method)?;
@@ -172,7 +178,10 @@
     pub fn cluster(&self, slice: SliceId, method: MethodId) -> Entry {
         let name = self.cluster_name(slice, method);
         let eds = proto::EdsClusterConfig { eds_config: Some(ads_source()), service_name: name.clone() };
-        hashed_entry(&proto::Cluster { name, r#type: 3, eds_cluster_config: Some(eds), metadata: None }, None)
+        hashed_entry(
+            &proto::Cluster { name, r#type: EDS, eds_cluster_config: Some(eds), metadata: None },
+            None,
+        )
     }
 
     /// The load assignment of a slice and method.
@@ -257,7 +266,10 @@
     pub version: Version,
     /// Servers and their weights; empty while no server serves the slice.
     pub lines: Vec<(String, u32)>,
+    /// The level: the fraction of RPCs to admit, from 0 to 1.
     pub share: f64,
+    /// The retry setting: 0 no retry; 1 one, only with proof that the try never ran; 2 one and 3 two after any
+    /// failure.
     pub tries: u8,
 }
 
--- a/crates/whinhill-xds/src/proto.rs
+++ b/crates/whinhill-xds/src/proto.rs
@@ -1,6 +1,6 @@
 //! The messages of xDS v3, LRS v3, ORCA and gRPC health that whinhill uses, with the field numbers of the
 //! specifications. Fields that whinhill neither sets nor reads are left out: protobuf decoders skip them.
-//! `tests/field_numbers.rs` checks each message against `envoy-types`.
+//! `tests/field_numbers.rs` checks them against `envoy-types`, except ORCA's report and gRPC health.
 
 use std::collections::HashMap;
 
--- a/crates/whinhill-xds/src/server.rs
+++ b/crates/whinhill-xds/src/server.rs
@@ -13,7 +13,7 @@
 use crate::cache::{Cache, Form, Kind};
 use crate::holdings::{hash_from_node, holdings_hash};
 use crate::proto::{self, DeltaDiscoveryRequest, DiscoveryRequest};
-use crate::{Request, Variant};
+use crate::{Request, Variant, MAX_URL_CHARS};
 
 /// Maximum number of unacknowledged replies of one type.
 const MAX_UNACKED_REPLIES: usize = 8;
@@ -54,6 +54,7 @@
 }
 
 /// The version of a resource that was last sent, or `None` where the client was told that it does not exist.
+/// An empty version stands for an unknown one: it equals no version in the cache, so the resource is sent again.
 type SentVersion = Option<Arc<str>>;
 
 /// A reply that is not acknowledged yet.
@@ -77,10 +78,10 @@
     unacked: VecDeque<UnackedReply>,
     /// Versions that the client has rejected once.
     rejected: BTreeMap<Arc<str>, SentVersion>,
-    /// Nonce of the last reply.
+    /// Nonce of the last reply. Debug output only.
     last_nonce: u64,
-    /// A reply is due even if it lists nothing: all resources that a client of the whole state holds may be
-    /// gone.
+    /// A reply is due even if it lists nothing: all resources that a state-of-the-world client holds from an
+    /// earlier stream may be gone.
     reply_due: bool,
 }
 
@@ -115,7 +116,8 @@
 #[derive(Debug)]
 pub struct ServerStream {
     variant: Variant,
-    wrapped: bool,
+    /// The client accepts wrapped resources in the state of the world ([`crate::client::FEATURE_WRAPPED`]).
+    accepts_wrapped: bool,
     last_nonce_sent: u64,
     subscriptions: [Subscription; 4],
     pending_acks: Vec<PendingAck>,
@@ -127,10 +129,10 @@
 impl ServerStream {
     /// `features` are the client features of the first request's node.
     pub fn new(variant: Variant, features: &[String]) -> Self {
-        let wrapped = features.iter().any(|f| f == crate::client::FEATURE_WRAPPED);
+        let accepts_wrapped = features.iter().any(|f| f == crate::client::FEATURE_WRAPPED);
         ServerStream {
             variant,
-            wrapped,
+            accepts_wrapped,
             last_nonce_sent: 0,
             subscriptions: Default::default(),
             pending_acks: Vec::new(),
@@ -224,7 +226,7 @@
         let done = self
             .pending_acks
             .iter()
-            .take_while(|m| m.awaited.as_ref().is_some_and(BTreeSet::is_empty))
+            .take_while(|ack| ack.awaited.as_ref().is_some_and(BTreeSet::is_empty))
             .count();
         self.pending_acks.drain(..done).map(|ack| ack.ack_seq).collect()
     }
@@ -562,7 +564,7 @@
 
     /// The form in which this stream carries resources.
     fn form(&self) -> Form {
-        match (self.variant, self.wrapped) {
+        match (self.variant, self.accepts_wrapped) {
             (Variant::Incremental, _) => Form::Incremental,
             (Variant::StateOfTheWorld, true) => Form::Wrapped,
             (Variant::StateOfTheWorld, false) => Form::Plain,
@@ -576,7 +578,8 @@
 }
 
 fn kind_from_url(url: &str) -> Result<Kind, StreamError> {
-    Kind::from_type_url(url).ok_or_else(|| StreamError::UnknownType(url.chars().take(120).collect()))
+    Kind::from_type_url(url)
+        .ok_or_else(|| StreamError::UnknownType(url.chars().take(MAX_URL_CHARS).collect()))
 }
 
 /// A reply: its own fields, and its resources in the encoding that all streams share.
--- a/crates/whinhill-xds/tests/field_numbers.rs
+++ b/crates/whinhill-xds/tests/field_numbers.rs
@@ -1,5 +1,5 @@
-//! Checks our messages against `envoy-types`: each library decodes what the other encodes. ORCA's report is not
-//! in that library; its two fields have the numbers of the specification.
+//! Checks our messages against `envoy-types`: each library decodes what the other encodes. ORCA's report and the
+//! messages of gRPC health are not checked here; their fields have the numbers of the specifications.
 
 use std::collections::HashMap;
 
