--- a/crates/whinhill-faults/src/schedule.rs
+++ b/crates/whinhill-faults/src/schedule.rs
@@ -13,15 +13,15 @@
     Connect,
     /// `epoll_wait`.
     Wait,
-    /// `epoll_ctl`.
+    /// `epoll_ctl`, except for removals.
     Register,
     /// `read`, `recv` and `readv` on a TCP socket.
     Read,
     /// `write`, `send` and `writev` on a TCP socket.
     Write,
-    /// `write` on standard error.
+    /// `write`, `pwrite64`, `send` and `writev` on standard error.
     Log,
-    /// `write` and `pwrite64` on a file.
+    /// `write`, `pwrite64` and `writev` on a file.
     FileWrite,
     /// `fsync` and `fdatasync`.
     Sync,
@@ -76,7 +76,7 @@
 /// The most bytes that a shortened call transfers.
 const MAX_SHORT_BYTES: u64 = 7;
 
-/// A fault of a rule.
+/// A fault as a rule names it; the length of a shortened transfer is drawn for each call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultKind {
     Error(i32),
--- a/crates/whinhill-transport/src/blocking.rs
+++ b/crates/whinhill-transport/src/blocking.rs
@@ -9,6 +9,9 @@
 
 use crate::polling::PollScope;
 
+/// Maximum time between two polls of a blocked thread, even if nothing wakes it.
+const MAX_PARK_DURATION: Duration = Duration::from_secs(1);
+
 /// A waker that unparks one thread.
 struct Unpark(Thread);
 
@@ -37,7 +40,7 @@
             if remaining.is_zero() {
                 return None;
             }
-            thread::park_timeout(remaining.min(Duration::from_secs(1)));
+            thread::park_timeout(remaining.min(MAX_PARK_DURATION));
         }
     })
 }
--- a/crates/whinhill-transport/src/call.rs
+++ b/crates/whinhill-transport/src/call.rs
@@ -37,6 +37,10 @@
 const LISTEN_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after an accept that failed for a reason that passes by itself.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Stack size of a listener's accept thread in bytes.
+const ACCEPT_STACK: usize = 64 << 10;
+/// Minimum time between two log lines about refused connections.
+const REFUSED_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// For how long a connect is retried that failed for local reasons. A small part of any deadline, since the
 /// caller may have another server to try.
 const CONNECT_RETRY_TIMEOUT: Duration = Duration::from_millis(100);
@@ -297,10 +301,10 @@
         let (shutdown, count): (Arc<ListenerShutdown>, _) = (Arc::default(), Arc::new(AtomicUsize::new(0)));
         let (accept_shutdown, counter, drivers) = (shutdown.clone(), count.clone(), drivers.clone());
         let handler: Handler = Arc::new(handler);
-        let builder = thread::Builder::new().name(format!("{name}-accept")).stack_size(64 << 10);
+        let builder = thread::Builder::new().name(format!("{name}-accept")).stack_size(ACCEPT_STACK);
         let thread = builder.spawn(move || {
-            // Refused connections are logged once a second, not each.
-            let (mut refused, mut last_logged) = (0u64, Instant::now() - Duration::from_secs(1));
+            // Refused connections are logged at intervals, with their number, not each.
+            let (mut refused, mut last_logged) = (0u64, Instant::now() - REFUSED_LOG_INTERVAL);
             loop {
                 let accepted = socket.accept();
                 if accept_shutdown.stop.load(Ordering::Relaxed) {
@@ -316,7 +320,7 @@
                 });
                 let Err(error) = result else { continue };
                 refused += 1;
-                if last_logged.elapsed() >= Duration::from_secs(1) {
+                if last_logged.elapsed() >= REFUSED_LOG_INTERVAL {
                     warn!(%addr, %error, refused, "connection refused");
                     (refused, last_logged) = (0, Instant::now());
                 }
@@ -486,7 +490,7 @@
         self.addr
     }
 
-    /// False once a call has found the connection ended.
+    /// False once a call has found the connection ended, or it was aborted.
     pub fn is_alive(&self) -> bool {
         !self.dead.load(Ordering::Relaxed)
     }
@@ -503,7 +507,8 @@
     }
 
     /// Aborts the connection, so that no data still in transit on it can arrive later. Every call on it ends
-    /// without an answer.
+    /// without an answer. This only sets flags: the connection's driver closes the socket at its next tick
+    /// (`TICK_INTERVAL` in `driver.rs`).
     pub fn abort(&self) {
         self.shared_state.aborted.store(true, Ordering::Relaxed);
         self.dead.store(true, Ordering::Relaxed);
--- a/crates/whinhill-transport/src/connection.rs
+++ b/crates/whinhill-transport/src/connection.rs
@@ -18,6 +18,11 @@
 use crate::limits::Limits;
 use crate::socket::Socket;
 
+/// A connection's flow-control window is this many times a stream's.
+const CONNECTION_WINDOW_FACTOR: u32 = 16;
+/// Size of a stream's send buffer in addition to `Limits::max_message`, in bytes.
+const SEND_BUFFER_MARGIN: usize = 64 << 10;
+
 /// Receives each incoming call. It runs on the thread that polls the connection and must not block.
 pub type Handler = Arc<dyn Fn(ServerCall) + Send + Sync>;
 
@@ -165,9 +170,9 @@
             .max_concurrent_streams(limits.max_streams)
             .max_header_list_size(limits.max_headers)
             .initial_window_size(limits.window)
-            .initial_connection_window_size(limits.window.saturating_mul(16))
+            .initial_connection_window_size(limits.window.saturating_mul(CONNECTION_WINDOW_FACTOR))
             .max_concurrent_reset_streams(limits.max_streams as usize)
-            .max_send_buffer_size(limits.max_message + (64 << 10));
+            .max_send_buffer_size(limits.max_message + SEND_BUFFER_MARGIN);
         let role = Role::Accepting(builder.handshake(socket), handler);
         Connection::new(role, peer, limits, SharedState::new(read_count), Some(slot))
     }
@@ -185,8 +190,8 @@
             .enable_push(false)
             .max_header_list_size(limits.max_headers)
             .initial_window_size(limits.window)
-            .initial_connection_window_size(limits.window.saturating_mul(16))
-            .max_send_buffer_size(limits.max_message + (64 << 10));
+            .initial_connection_window_size(limits.window.saturating_mul(CONNECTION_WINDOW_FACTOR))
+            .max_send_buffer_size(limits.max_message + SEND_BUFFER_MARGIN);
         shared_state.owned_by_driver.store(true, Ordering::Release);
         let opening = async move { builder.handshake(socket).await };
         Connection::new(Role::Opening(Box::pin(opening), result), peer, limits, shared_state, None)
--- a/crates/whinhill-transport/src/driver.rs
+++ b/crates/whinhill-transport/src/driver.rs
@@ -37,6 +37,7 @@
 struct DriverWaker {
     waker: mio::Waker,
     ready: Mutex<Vec<usize>>,
+    /// A wake-up of the thread is pending: further ones need not wake it again.
     notified: AtomicBool,
 }
 
@@ -62,6 +63,7 @@
 struct SharedConnection {
     driver: Arc<DriverWaker>,
     key: usize,
+    /// A poll is already due, by the thread that used the connection or by the driver: further wake-ups add none.
     queued: AtomicBool,
     /// Locked for one poll, which never blocks since sockets are non-blocking. Taken out once the connection has
     /// ended, because it stores wakers that refer to this object.
--- a/crates/whinhill-transport/src/error.rs
+++ b/crates/whinhill-transport/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-/// gRPC status codes that this program uses; others keep their number.
+/// gRPC status codes that this project uses; others keep their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     Ok,
