--- a/crates/whinhill-proxy/src/connections.rs
+++ b/crates/whinhill-proxy/src/connections.rs
@@ -62,9 +62,12 @@
     /// Open another connection, then report the result with [`Connections::opened`], [`Connections::open_failed`] or
     /// [`Connections::open_not_attempted`].
     Open,
-    /// All connections are full or being opened by others: ask again after a change.
+    /// No connection has capacity and none may be opened now: the limit of the server or of all servers is reached,
+    /// another RPC is opening the first one, or the delay after a failure lasts and others are open. Ask again after a
+    /// change.
     Wait,
-    /// No connection can be opened now.
+    /// No connection is open and none may be opened now, after a failure or because too many servers are connected to:
+    /// there is nothing to wait for.
     Unavailable,
 }
 
@@ -201,6 +204,7 @@
         let limits = self.limits;
         let Some(entry) = self.servers.get_mut(server) else { return };
         entry.opening = entry.opening.saturating_sub(1);
+        // The cap of 16 keeps the shift within the type; `again_after_most_ms` limits the delay.
         let delay = limits.again_after_ms.saturating_mul(1 << entry.failures.min(16));
         entry.failures = entry.failures.saturating_add(1);
         entry.retry_at = now + Duration::from_millis(delay.min(limits.again_after_most_ms));
--- a/crates/whinhill-proxy/src/forward.rs
+++ b/crates/whinhill-proxy/src/forward.rs
@@ -113,7 +113,8 @@
 impl Forwarder {
     /// Answers one call; runs on a worker's thread.
     pub fn handle(&self, call: ServerCall) {
-        // Everything that this RPC writes to connections is written by this thread.
+        // Everything that this RPC writes to connections or drops is written by this thread. `call` is rebound so that
+        // it is dropped within the scope: dropping a call can wake its connection.
         let _scope = PollScope::begin();
         let call = call;
         let grpc = call.header("content-type").is_some_and(|kind| kind.starts_with("application/grpc"));
--- a/crates/whinhill-proxy/src/forward/tests.rs
+++ b/crates/whinhill-proxy/src/forward/tests.rs
@@ -352,7 +352,8 @@
     let harness = direct_harness();
     harness.publish(1, owner);
     let both = [harness.call_in_thread(WRITE, s(2.0)), harness.call_in_thread(WRITE, s(2.0))];
-    // The scripted server expects both RPCs on the first connection, as streams 1 and 3.
+    // The scripted server expects both RPCs on the first connection, as streams 1 and 3. Only one is opened while none
+    // is open, and it carries both.
     let server = thread::spawn(move || {
         let (mut socket, _) = listener.accept().unwrap();
         socket.write_all(&frame(4, 0, 0, &[])).unwrap();
--- a/crates/whinhill-proxy/src/proxy.rs
+++ b/crates/whinhill-proxy/src/proxy.rs
@@ -127,6 +127,7 @@
             // Without a free worker an RPC is pushed back at once: in a queue it would only lose time.
             let reject_when_full = |call: ServerCall| {
                 let mut trailers = Trailers::new();
+                // As `PUSHBACK_DELAY` of `forward.rs`, in milliseconds.
                 trailers.insert(PUSHBACK_HEADER, http::HeaderValue::from_static("250"));
                 call.refuse(Code::Unavailable, "pushed back: the proxy is full", trailers);
             };
--- a/crates/whinhill-proxy/src/report.rs
+++ b/crates/whinhill-proxy/src/report.rs
@@ -16,6 +16,8 @@
 const PUSHED_BACK_METRIC: &str = "pushed_back";
 /// The most servers whose own load reports are kept.
 const MAX_SERVERS: usize = 4096;
+/// Maximum number of named metrics kept from a server's load report; which ones is arbitrary if it has more.
+const MAX_NAMED_METRICS: usize = 8;
 
 /// The outcome of a try, for load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +67,7 @@
 #[derive(Debug)]
 pub struct LoadStats {
     by_slice: Vec<BTreeMap<(SliceId, MethodId), SliceStats>>,
-    /// When each report began.
+    /// Start of the interval of the next report, by assigner, on the proxy's clock.
     since: Vec<Duration>,
     /// Tries in flight, by the assigner to which their end will be reported. Limited by the RPCs in flight.
     in_flight: Vec<BTreeMap<(SliceId, MethodId), InFlightByServer>>,
@@ -145,7 +147,8 @@
         if self.server_loads.len() >= MAX_SERVERS && !self.server_loads.contains_key(server) {
             return;
         }
-        let named = report.named_metrics.iter().take(8).map(|(name, value)| (name.clone(), *value));
+        let named =
+            report.named_metrics.iter().take(MAX_NAMED_METRICS).map(|(name, value)| (name.clone(), *value));
         let mut load: BTreeMap<String, f64> = named.collect();
         if report.cpu_utilization > 0.0 {
             load.insert("cpu".to_string(), report.cpu_utilization);
--- a/crates/whinhill-proxy/src/retry.rs
+++ b/crates/whinhill-proxy/src/retry.rs
@@ -83,7 +83,7 @@
     writes: bool,
     /// The retry setting of the table at the first try: 0 no retry; 1 one retry, only with proof that the try never
     /// ran; 2 one retry and 3 two retries after any failure.
-    allowed: Option<u8>,
+    retry_setting: Option<u8>,
     failures: u8,
     /// The current try has been sent a second time to the same server.
     resent: bool,
@@ -94,20 +94,20 @@
 impl RetryState {
     /// The state before the first try of a method with this effect.
     pub fn new(effect: Effect, writes: bool) -> Self {
-        RetryState { effect, writes, allowed: None, failures: 0, resent: false, may_have_run: false }
+        RetryState { effect, writes, retry_setting: None, failures: 0, resent: false, may_have_run: false }
     }
 
-    /// Begins a try with a table whose retry setting is `allowed`. The first table's setting counts: a table that
-    /// arrives during the RPC changes where tries go, but not how many there are.
-    pub fn begin_try(&mut self, allowed: u8) {
-        self.allowed.get_or_insert(allowed);
+    /// Begins a try with a table that has this retry setting. The first table's setting counts: a table that arrives
+    /// during the RPC changes where tries go, but not how many there are.
+    pub fn begin_try(&mut self, retry_setting: u8) {
+        self.retry_setting.get_or_insert(retry_setting);
         self.resent = false;
     }
 
     /// Whether the current try may be retried after a timeout. If so, it waits for less than the whole deadline.
     pub fn may_retry_after_timeout(&self) -> bool {
-        let max_tries = self.allowed.unwrap_or(0);
-        max_tries >= 2 && self.effect == Effect::Idempotent && self.failures + 1 < max_tries
+        let setting = self.retry_setting.unwrap_or(0);
+        setting >= 2 && self.effect == Effect::Idempotent && self.failures + 1 < setting
     }
 
     /// Whether the connection must be closed so that an unanswered write can't arrive at the server later.
@@ -141,7 +141,7 @@
         self.failures += 1;
         // Proof for the last try says nothing about earlier tries.
         let safe = self.effect == Effect::Idempotent || proof && !self.may_have_run;
-        let tries_left = match self.allowed.unwrap_or(0) {
+        let tries_left = match self.retry_setting.unwrap_or(0) {
             0 => false,
             1 => self.failures <= 1 && proof,
             max_tries => self.failures < max_tries,
@@ -179,9 +179,9 @@
         TryOutcome::MayHaveRun { connection_silent: true },
     ];
 
-    fn retry(effect: Effect, allowed: u8) -> RetryState {
+    fn retry(effect: Effect, retry_setting: u8) -> RetryState {
         let mut retry = RetryState::new(effect, effect != Effect::Idempotent);
-        retry.begin_try(allowed);
+        retry.begin_try(retry_setting);
         retry
     }
 
@@ -193,17 +193,18 @@
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let effect =
                 *[Effect::Idempotent, Effect::Tokened, Effect::NonIdempotent].choose(&mut rng).unwrap();
-            let allowed = rng.random_range(0..=3u8);
+            let retry_setting = rng.random_range(0..=3u8);
             let mut retry = RetryState::new(effect, effect != Effect::Idempotent);
             let (mut may_have_run, mut sent, mut failures) = (0, 0, 0);
             let mut history = Vec::new();
             loop {
-                retry.begin_try(if sent == 0 { allowed } else { 3 });
+                retry.begin_try(if sent == 0 { retry_setting } else { 3 });
                 let mut resends = 0;
                 let next = loop {
                     let outcome = *OUTCOMES.choose(&mut rng).unwrap();
                     history.push(outcome);
-                    let context = format!("seed {seed}, {effect:?}, {allowed} allowed: {history:?}");
+                    let context =
+                        format!("seed {seed}, {effect:?}, retry setting {retry_setting}: {history:?}");
                     if outcome != TryOutcome::NotSent {
                         sent += 1;
                         assert!(effect == Effect::Idempotent || may_have_run == 0, "{context}");
@@ -237,7 +238,7 @@
                     resends += 1;
                     assert!(resends <= 1, "{context}");
                 };
-                let max_failures = [1, 2, 2, 3][usize::from(allowed)];
+                let max_failures = [1, 2, 2, 3][usize::from(retry_setting)];
                 assert!(failures <= max_failures, "seed {seed}: {history:?}");
                 if next == NextStep::Finish || history.len() > 200 {
                     break;
@@ -266,16 +267,16 @@
     #[test]
     fn retry_after_timeout_only_for_idempotent_rpcs_with_tries_left() {
         let lost = TryOutcome::MayHaveRun { connection_silent: false };
-        for (allowed, expected) in
+        for (retry_setting, expected) in
             [(0, [false; 3]), (1, [false; 3]), (2, [true, false, false]), (3, [true, true, false])]
         {
-            let mut read = retry(Effect::Idempotent, allowed);
+            let mut read = retry(Effect::Idempotent, retry_setting);
             let actual = [(); 3].map(|()| {
                 let may = read.may_retry_after_timeout();
                 read.next_step(lost, GOOD);
                 may
             });
-            assert_eq!(actual, expected, "{allowed}");
+            assert_eq!(actual, expected, "{retry_setting}");
         }
         assert!(!retry(Effect::NonIdempotent, 3).may_retry_after_timeout());
         assert!(!retry(Effect::Tokened, 3).may_retry_after_timeout());
--- a/crates/whinhill-proxy/src/shared.rs
+++ b/crates/whinhill-proxy/src/shared.rs
@@ -128,7 +128,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Sleeps for `duration`, but returns false early if the proxy is stopping.
+    /// Sleeps for `duration` and returns true; returns false early if the proxy is stopping.
     pub fn sleep(&self, duration: Duration) -> bool {
         let until = Instant::now() + duration;
         loop {
@@ -139,6 +139,7 @@
             if left.is_zero() {
                 return true;
             }
+            // `stop` is checked at least every 50 ms, whether or not the thread is unparked.
             std::thread::park_timeout(left.min(Duration::from_millis(50)));
         }
     }
--- a/crates/whinhill-proxy/src/streams.rs
+++ b/crates/whinhill-proxy/src/streams.rs
@@ -20,7 +20,7 @@
 
 /// The delay after a first failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest delay; a stream that stood for longer than this resets the delay.
+/// The longest delay before randomisation, and how long a stream must have lasted for its failure to reset the delay.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// How often a waiting thread checks whether the proxy is stopping.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -28,6 +28,10 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The interval between load reports until the assigner sets another.
 const DEFAULT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The shortest interval between load reports that an assigner may set.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+/// The longest interval between load reports that an assigner may set.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// What the streams to one assigner need.
 pub struct AssignerStreams {
@@ -75,7 +79,7 @@
         Backoff { shared, next: INITIAL_BACKOFF }
     }
 
-    /// Resets the delay if the failed stream had stood for longer than [`MAX_BACKOFF`], counted from `started`. Returns
+    /// Resets the delay if the failed stream had lasted longer than [`MAX_BACKOFF`], counted from `started`. Returns
     /// whether it had.
     fn reset_after_long_stream(&mut self, started: Instant) -> bool {
         let was_long = started.elapsed() > MAX_BACKOFF;
@@ -296,9 +300,7 @@
                 Ok(Some(message)) => {
                     let response = proto::LoadStatsResponse::decode(message)?;
                     let requested = response.load_reporting_interval.as_ref().and_then(from_proto_duration);
-                    interval = requested
-                        .unwrap_or(interval)
-                        .clamp(Duration::from_millis(50), Duration::from_secs(60));
+                    interval = requested.unwrap_or(interval).clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL);
                     next = next.min(Instant::now() + interval);
                 }
                 other => return Err(other?.map_or(StreamError::Closed, |_| StreamError::Closed)),
--- a/crates/whinhill-proxy/src/table.rs
+++ b/crates/whinhill-proxy/src/table.rs
@@ -21,7 +21,8 @@
 /// The decision for an RPC.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Route {
-    /// Send it to this server; `tries` is the table's retry setting.
+    /// Send it to this server; `tries` is the table's retry setting (see
+    /// `RetryState::retry_setting` in `retry.rs`).
     Send { server: Arc<str>, tries: u8, version: Version },
     /// No server has the slice now, or writes have no lease: the RPC may wait for the service's hold time.
     Wait(Refusal),
@@ -82,7 +83,7 @@
     lines: Vec<(Arc<str>, u32)>,
     /// The share of RPCs that is admitted.
     share: f64,
-    /// The retry setting.
+    /// The retry setting, from 0 to 3: see `RetryState::retry_setting` in `retry.rs`.
     tries: u8,
     /// Set once the assigner has withdrawn the table: the end of the lease at that time. Writes end then, whatever the
     /// assigner renews.
