--- a/crates/whinhill-reports/src/intake.rs
+++ b/crates/whinhill-reports/src/intake.rs
@@ -14,7 +14,7 @@
 use crate::sample::downsample;
 use crate::{Figures, Key, Line, Report};
 
-/// Limits on the cost of an intake, and its waiting times.
+/// Limits on the cost of an aggregator, and its waiting times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// The reporting interval of proxies, and the interval of output.
@@ -270,7 +270,7 @@
 }
 
 impl ReportAggregator {
-    /// Creates an empty intake. `seed` is that of the random numbers for downsampling.
+    /// Creates an empty aggregator. `seed` is that of the random numbers for downsampling.
     pub fn new(limits: Limits, seed: u64) -> Self {
         ReportAggregator {
             limits,
--- a/crates/whinhill-reports/src/lib.rs
+++ b/crates/whinhill-reports/src/lib.rs
@@ -53,7 +53,7 @@
     pub lost: u64,
     /// Tries that succeeded.
     pub ok: u64,
-    /// The sum of the waiting times of `oks`, in milliseconds.
+    /// The sum of the waiting times of `ok`, in milliseconds.
     pub wait_ms: f64,
     /// The load that the server reported last.
     pub load: LoadReport,
--- a/crates/whinhill-tables/src/rollback.rs
+++ b/crates/whinhill-tables/src/rollback.rs
@@ -240,7 +240,7 @@
     }
 
     /// Evaluates all moves against the current set. Returns the moves to request from the module. Each is returned
-    /// once, and again only after [`Rollback::put_back`] or [`Rollback::recovered`].
+    /// once, and again only after [`Rollback::reopen`] or [`Rollback::resume`].
     pub fn update(
         &mut self,
         now: Duration,
