--- a/crates/whinhill-history/src/lib.rs
+++ b/crates/whinhill-history/src/lib.rs
@@ -42,7 +42,7 @@
 const ENTRIES: Table = TableDefinition::new("entries");
 /// The tables of the newest set, by slice.
 const CURRENT: Table = TableDefinition::new("current");
-/// Rollbacks in progress, by id.
+/// Remembered rollbacks, finished ones included, by id.
 const ROLLBACKS: Table = TableDefinition::new("rollbacks");
 const FORMAT_KEY: &str = "format";
 const NUMBER_KEY: &str = "number";
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// The stored rollbacks in progress, oldest first.
+    /// The stored rollbacks, finished ones included, oldest first.
     pub fn rollbacks(&self) -> Result<Vec<Rollback>, HistoryDbError> {
         let rollbacks = read_rows(&self.database.begin_read()?, ROLLBACKS, "rollback")?;
         Ok(rollbacks.into_iter().map(|(_, rollback)| rollback).collect())
--- a/crates/whinhill-reports/src/intake.rs
+++ b/crates/whinhill-reports/src/aggregator.rs
@@ -14,7 +14,7 @@
 use crate::sample::downsample;
 use crate::{Figures, Key, Line, Report};
 
-/// Limits on the cost of an intake, and its waiting times.
+/// Limits on the cost of an aggregator, and its waiting times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// The reporting interval of proxies, and the interval of output.
@@ -68,7 +68,7 @@
 }
 
 /// The state of a proxy according to its reports. A proxy without reports is unknown; only one that reports no load is
-/// quiet.
+/// idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportingState {
     /// It reports load.
@@ -94,7 +94,7 @@
     /// When its last report arrived.
     last_report: Option<Duration>,
     /// Whether the last report had no lines.
-    quiet: bool,
+    idle: bool,
     /// The lag of the last report.
     lag: Duration,
     /// When the last of its streams ended.
@@ -141,12 +141,12 @@
     }
 
     /// The proxy's state at `now`.
-    fn hearing(&self, now: Duration, period: Duration) -> ReportingState {
+    fn state(&self, now: Duration, period: Duration) -> ReportingState {
         let since = self.last_report.unwrap_or(self.opened_at);
-        match (self.streams, now.saturating_sub(since) > period * SILENT_AFTER_PERIODS) {
+        match (self.streams, now.saturating_sub(since) > period * UNRESPONSIVE_AFTER_PERIODS) {
             (0, _) => ReportingState::Disconnected,
             (_, true) => ReportingState::Unresponsive,
-            (_, false) if self.quiet => ReportingState::Idle,
+            (_, false) if self.idle => ReportingState::Idle,
             (_, false) => ReportingState::Reporting,
         }
     }
@@ -193,8 +193,8 @@
 const MAX_HEAVY_HITTERS: usize = 64;
 /// The weight of a new rate in the smoothed rate of a heavy hitter.
 const HEAVY_HITTER_WEIGHT: f64 = 0.3;
-/// A proxy with a stream is silent if it has not reported for more than this many periods.
-const SILENT_AFTER_PERIODS: u32 = 3;
+/// A proxy with a stream is unresponsive if it has not reported for more than this many periods.
+const UNRESPONSIVE_AFTER_PERIODS: u32 = 3;
 /// A proxy without a stream is forgotten this many periods after its last report.
 const FORGET_AFTER_PERIODS: u32 = 120;
 /// The number of a proxy's last reports whose duplicates are detected.
@@ -261,7 +261,7 @@
     pub max_relative_error: f64,
     /// The fraction of the expected load that was reported for the periods closed last.
     pub coverage: f64,
-    /// The number of proxies by [`ReportingState`]: heard, quiet, silent, cut.
+    /// The number of proxies by [`ReportingState`]: reporting, idle, unresponsive, disconnected.
     pub proxies_by_state: [usize; 4],
     /// The greatest lag of the proxies that report.
     pub max_lag: Duration,
@@ -270,7 +270,7 @@
 }
 
 impl ReportAggregator {
-    /// Creates an empty intake. `seed` is that of the random numbers for downsampling.
+    /// Creates an empty aggregator. `seed` is that of the random numbers for downsampling.
     pub fn new(limits: Limits, seed: u64) -> Self {
         ReportAggregator {
             limits,
@@ -322,7 +322,7 @@
             .or_insert_with(|| Source { opened_at: now, ..Source::default() });
         source.zone = report.zone;
         let passed = now.saturating_sub(source.last_report.unwrap_or_default());
-        (source.last_report, source.quiet) = (Some(now), report.lines.is_empty());
+        (source.last_report, source.idle) = (Some(now), report.lines.is_empty());
         if !report.lines.is_empty() {
             let digest = digest(&report);
             // A service with constant load has equal reports each second. Only a report that is repeated in less than
@@ -415,7 +415,7 @@
             self.sources.values().filter(|s| s.streams > 0).filter_map(|s| s.rate_filter.rate()),
         );
         self.forget_inactive(now);
-        self.update_shown(now, coverage.reported);
+        self.update_proxy_stats(now, coverage.reported);
         if coverage.reported < self.limits.min_coverage {
             return Vec::new();
         }
@@ -580,13 +580,13 @@
     }
 
     /// Updates the statistics of proxies. `reported` is the fraction of the expected load that was reported.
-    fn update_shown(&mut self, now: Duration, reported: f64) {
+    fn update_proxy_stats(&mut self, now: Duration, reported: f64) {
         let mut proxies = [0; 4];
         let mut lags = Vec::with_capacity(self.sources.len());
         for source in self.sources.values() {
-            let hearing = source.hearing(now, self.limits.period);
-            proxies[hearing as usize] += 1;
-            if matches!(hearing, ReportingState::Reporting | ReportingState::Idle) {
+            let state = source.state(now, self.limits.period);
+            proxies[state as usize] += 1;
+            if matches!(state, ReportingState::Reporting | ReportingState::Idle) {
                 lags.push(source.lag);
             }
         }
@@ -624,13 +624,13 @@
 
     /// The state of a proxy at `now`; `None` if it is unknown.
     pub fn reporting_state(&self, now: Duration, proxy: ProxyId) -> Option<ReportingState> {
-        Some(self.sources.get(&proxy)?.hearing(now, self.limits.period))
+        Some(self.sources.get(&proxy)?.state(now, self.limits.period))
     }
 
     /// All proxies with their states, lags and accepted rates; sorted by state and lag, the worst first.
     pub fn proxies(&self, now: Duration) -> Vec<(ProxyId, ReportingState, Duration, Option<f64>)> {
         let one = |(id, source): (&ProxyId, &Source)| {
-            (*id, source.hearing(now, self.limits.period), source.lag, source.rate_filter.rate())
+            (*id, source.state(now, self.limits.period), source.lag, source.rate_filter.rate())
         };
         let mut all: Vec<_> = self.sources.iter().map(one).collect();
         all.sort_by(|a, b| (b.1, b.2, a.0).cmp(&(a.1, a.2, b.0)));
--- a/crates/whinhill-reports/src/intake/tests.rs
+++ b/crates/whinhill-reports/src/aggregator/tests.rs
@@ -16,8 +16,8 @@
     Report { proxy, zone: 0, interval: Some(secs(interval)), unresolved_lines: 0, lines }
 }
 
-/// An intake after `seconds` reports of each proxy, of some 100 tries per second: 80 of a common slice, and the others
-/// of a slice of its own.
+/// An aggregator after `seconds` reports of each proxy, of some 100 tries per second: 80 of a common slice, and the
+/// others of a slice of its own.
 fn aggregator_after(proxies: ProxyId, seconds: u32) -> ReportAggregator {
     let mut aggregator = ReportAggregator::new(Limits::default(), 1);
     (0..proxies).for_each(|proxy| aggregator.stream_opened(secs(0.0), proxy, 0));
--- a/crates/whinhill-reports/src/clock.rs
+++ b/crates/whinhill-reports/src/clock.rs
@@ -46,7 +46,7 @@
     last: Option<LastReport>,
     /// The number of consecutive regular reports.
     regular_reports: u32,
-    /// Whether a stream was opened since the last report whose offset was limited.
+    /// Whether a stream was opened. The next report whose offset would be limited is exempted, which clears this.
     stream_reopened: bool,
     /// How much further intervals may overlap and still count as new.
     overlap_allowance: f64,
@@ -90,7 +90,8 @@
         self.offset = if limited { offset.min(self.offset + passed * MAX_OFFSET_GROWTH) } else { offset };
         let end = self.reported_total + self.offset;
         let last_end = self.last.map_or(0.0, |last| last.end);
-        // Intervals of reports that arrive slightly early or late overlap slightly.
+        // Intervals of reports that arrive slightly early or late overlap slightly. The allowance for this is restored
+        // at the rate at which the offset may grow, up to `slack`.
         self.overlap_allowance =
             (self.overlap_allowance + passed * MAX_OFFSET_GROWTH).min(slack.as_secs_f64());
         let overlap = (last_end - (end - interval)).clamp(0.0, self.overlap_allowance);
--- a/crates/whinhill-reports/src/lib.rs
+++ b/crates/whinhill-reports/src/lib.rs
@@ -20,14 +20,14 @@
 //! lines are then merged by key into the periods that they cover. The [`Ledger`] accounts for every reported try at any
 //! time. `docs/load-reports.md` compares the alternatives.
 
+mod aggregator;
 mod clock;
-mod intake;
 mod ledger;
 mod rate_filter;
 mod sample;
 
+pub use aggregator::{IntakeStats, Limits, MergedLine, ReportAggregator, ReportingState};
 pub use clock::{PlacedInterval, ProxyClock};
-pub use intake::{IntakeStats, Limits, MergedLine, ReportAggregator, ReportingState};
 pub use ledger::Ledger;
 pub use rate_filter::{PeerRates, RateFilter};
 pub use sample::{downsample, Downsampled};
@@ -49,11 +49,11 @@
 pub struct Figures {
     /// All tries.
     pub tries: u64,
-    /// Tries that were lost.
+    /// Tries without a successful answer.
     pub lost: u64,
     /// Tries that succeeded.
     pub ok: u64,
-    /// The sum of the waiting times of `oks`, in milliseconds.
+    /// The sum of the waiting times of the tries in `ok`, in milliseconds.
     pub wait_ms: f64,
     /// The load that the server reported last.
     pub load: LoadReport,
--- a/crates/whinhill-store/src/redis.rs
+++ b/crates/whinhill-store/src/redis.rs
@@ -58,9 +58,9 @@
 
     /// Performs one exchange, on a new connection if the last exchange failed.
     fn exchange(&mut self, commands: &[Frame]) -> Result<Vec<Frame>, ExchangeError> {
-        let within = self.config.timeout;
+        let timeout = self.config.timeout;
         if self.connection.is_none() {
-            let opened = Connection::open(self.config.addr, within);
+            let opened = Connection::open(self.config.addr, timeout);
             self.connection = Some(opened.map_err(|fault| ExchangeError { fault, may_have_arrived: false })?);
         }
         let Some(connection) = &mut self.connection else {
@@ -69,7 +69,7 @@
                 may_have_arrived: false,
             });
         };
-        let result = connection.exchange(commands, within);
+        let result = connection.exchange(commands, timeout);
         if result.is_err() {
             self.connection = None;
         }
@@ -128,16 +128,18 @@
 }
 
 impl Store for RespStore {
-    fn register(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
-        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.incarnation));
-        match self.exchange(&[command(&["SET", &key, &life, "NX", "PX", &px_millis(ttl)])]) {
+    fn register(&mut self, identity: &Identity, ttl: Duration) -> Outcome<()> {
+        let (key, incarnation) = (self.liveness_key(&identity.name), format!("{:x}", identity.incarnation));
+        match self.exchange(&[command(&["SET", &key, &incarnation, "NX", "PX", &px_millis(ttl)])]) {
             Err(ExchangeError { fault, may_have_arrived: false }) => Outcome::NotDone(fault),
             Err(ExchangeError { fault, may_have_arrived: true }) => Outcome::Unknown(fault),
             Ok(replies) => match &replies[0] {
                 Frame::SimpleString(_) => Outcome::Done(()),
                 Frame::Null => match self.query(&[command(&["GET", &key])]) {
                     // An earlier SET of this incarnation took effect although its reply was lost.
-                    Ok(current) if string_value(&current[0]) == Some(&life) => self.renew(me, ttl),
+                    Ok(current) if string_value(&current[0]) == Some(&incarnation) => {
+                        self.renew(identity, ttl)
+                    }
                     Ok(current) => Outcome::NotDone(StoreError::AlreadyRegistered(
                         string_value(&current[0]).unwrap_or("?").into(),
                     )),
@@ -148,16 +150,17 @@
         }
     }
 
-    fn renew(&mut self, me: &Identity, ttl: Duration) -> Outcome<()> {
-        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.incarnation));
+    fn renew(&mut self, identity: &Identity, ttl: Duration) -> Outcome<()> {
+        let (key, incarnation) = (self.liveness_key(&identity.name), format!("{:x}", identity.incarnation));
         match self.watch_and_get(std::slice::from_ref(&key)) {
             Err(fault) => Outcome::NotDone(fault),
-            Ok(current) if current[0].as_deref() != Some(life.as_str()) => {
+            Ok(current) if current[0].as_deref() != Some(incarnation.as_str()) => {
                 self.unwatch();
                 Outcome::NotDone(StoreError::LeaseLost)
             }
             Ok(_) => {
-                match self.run_transaction(vec![command(&["SET", &key, &life, "PX", &px_millis(ttl)])]) {
+                match self.run_transaction(vec![command(&["SET", &key, &incarnation, "PX", &px_millis(ttl)])])
+                {
                     Outcome::Done(true) => Outcome::Done(()),
                     Outcome::Done(false) => Outcome::NotDone(StoreError::LeaseLost),
                     Outcome::NotDone(fault) => Outcome::NotDone(fault),
@@ -167,11 +170,11 @@
         }
     }
 
-    fn deregister(&mut self, me: &Identity) -> Outcome<()> {
-        let (key, life) = (self.liveness_key(&me.name), format!("{:x}", me.incarnation));
+    fn deregister(&mut self, identity: &Identity) -> Outcome<()> {
+        let (key, incarnation) = (self.liveness_key(&identity.name), format!("{:x}", identity.incarnation));
         match self.watch_and_get(std::slice::from_ref(&key)) {
             Err(fault) => Outcome::NotDone(fault),
-            Ok(current) if current[0].as_deref() != Some(life.as_str()) => {
+            Ok(current) if current[0].as_deref() != Some(incarnation.as_str()) => {
                 self.unwatch();
                 Outcome::Done(())
             }
@@ -206,13 +209,13 @@
             ));
         }
         let mut alive = Vec::new();
-        for (name, life) in names.iter().zip(liveness) {
-            let Some(life) = string_value(life) else { continue };
-            match u64::from_str_radix(life, 16) {
+        for (name, incarnation) in names.iter().zip(liveness) {
+            let Some(incarnation) = string_value(incarnation) else { continue };
+            match u64::from_str_radix(incarnation, 16) {
                 Ok(incarnation) => alive.push(Identity { name: name.clone(), incarnation }),
                 Err(_) => {
                     return Outcome::NotDone(StoreError::UnexpectedReply(format!(
-                        "{life:?} is not an incarnation number of {name}"
+                        "{incarnation:?} is not an incarnation number of {name}"
                     )))
                 }
             }
--- a/crates/whinhill-store/src/resp/tests.rs
+++ b/crates/whinhill-store/src/resp/tests.rs
@@ -8,7 +8,7 @@
 const EADDRNOTAVAIL: i32 = 99;
 const ECONNREFUSED: i32 = 111;
 
-/// Opens a connection whose first `failures` connects fail with error `number`. Returns the number of connects, too.
+/// Opens a connection whose first `failures` connects fail with error `errno`. Returns the number of connects, too.
 fn open_after_failures(
     failures: usize,
     errno: i32,
--- a/crates/whinhill-store/src/store.rs
+++ b/crates/whinhill-store/src/store.rs
@@ -53,14 +53,14 @@
 
 /// A store of liveness keys, which expire unless they are renewed, and of one record for each slice.
 pub trait Store: Send {
-    /// Creates the liveness key of `me`. Fails while a key of the same name exists.
-    fn register(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
+    /// Creates the liveness key of `identity`. Fails while a key of the same name exists.
+    fn register(&mut self, identity: &Identity, ttl: Duration) -> Outcome<()>;
 
-    /// Extends the liveness key by `ttl` from now. Fails if the key no longer belongs to `me`.
-    fn renew(&mut self, me: &Identity, ttl: Duration) -> Outcome<()>;
+    /// Extends the liveness key by `ttl` from now. Fails if the key no longer belongs to `identity`.
+    fn renew(&mut self, identity: &Identity, ttl: Duration) -> Outcome<()>;
 
-    /// Deletes the liveness key if it still belongs to `me`.
-    fn deregister(&mut self, me: &Identity) -> Outcome<()>;
+    /// Deletes the liveness key if it still belongs to `identity`.
+    fn deregister(&mut self, identity: &Identity) -> Outcome<()>;
 
     /// Returns the live assigners among `names`, and the records of all slices.
     fn read(&mut self, names: &[String], slices: usize) -> Outcome<(Vec<Identity>, Vec<Option<Record>>)>;
--- a/crates/whinhill-tables/src/history.rs
+++ b/crates/whinhill-tables/src/history.rs
@@ -35,7 +35,8 @@
     pub id: SetId,
     /// Who made the version.
     pub author: Author,
-    /// The time of the change on the assigner's clock.
+    /// The time of the change on the history's clock: the assigner's clock, plus an offset after a restart so that it
+    /// never goes back.
     pub at: Duration,
     /// The time of the change by the wall clock, for readers.
     pub unix_ms: u64,
@@ -101,7 +102,7 @@
     pub number: u64,
     /// Added and changed entries by version number; `None`: compacted.
     pub changed_entries: BTreeMap<u64, Option<Entry>>,
-    /// Rollbacks in progress by id; `None`: finished.
+    /// Changed rollbacks by id, finished ones included; `None`: no longer remembered.
     pub rollbacks: BTreeMap<u64, Option<Rollback>>,
 }
 
--- a/crates/whinhill-tables/src/lib.rs
+++ b/crates/whinhill-tables/src/lib.rs
@@ -8,7 +8,7 @@
 mod delta;
 mod hash;
 mod history;
-mod keeper;
+mod publisher;
 pub mod rollback;
 mod table;
 
@@ -16,5 +16,5 @@
 pub use delta::{Changes, Delta, DeltaError, NumberedSet, SetId};
 pub use hash::set_hash;
 pub use history::{differing_slices, Author, Entry, History, HistoryUpdate, Limits, RestoreError};
-pub use keeper::{BatchOutcome, PendingGrant, TablePublisher};
+pub use publisher::{BatchOutcome, PendingGrant, TablePublisher};
 pub use table::{ServerName, SliceTable, TableSet, Version, VersionError};
--- a/crates/whinhill-tables/src/keeper.rs
+++ b/crates/whinhill-tables/src/publisher.rs
@@ -33,7 +33,7 @@
     pub slices: BTreeSet<SliceId>,
     /// Whether the batch had a safety order: one that stopped writes or revoked an owner.
     pub safety: bool,
-    /// Grants to store. See [`TablePublisher::granted`].
+    /// Grants to store. See [`TablePublisher::grant_stored`].
     pub grants: Vec<PendingGrant>,
     /// Why nothing was published, if the tables break rules.
     pub violations: Vec<Violation>,
--- a/crates/whinhill-tables/src/rollback.rs
+++ b/crates/whinhill-tables/src/rollback.rs
@@ -2,9 +2,12 @@
 //!
 //! A rollback publishes nothing by itself. Owners change only by the module's handover (stop writes, wait for every
 //! proxy's answer or the end of its lease, settle, grant). So for each slice with another owner a *move* is requested,
-//! which the module performs within the spare capacity, the budgets of cold servers and the channel's rate. Levels may
-//! be lowered at once, since admitting less is safe at any owner. Raising them is left to the module, which knows what
-//! the owner can take now. The result is always a new version with old content.
+//! which the module performs within the spare capacity, the budgets of cold servers and the channel's rate. The
+//! result is always a new version with old content.
+//!
+//! A rollback changes no levels. Lowering them at once would be safe at any owner, since it admits less;
+//! [`lowered_levels`] finds the slices concerned, whose number the operator is shown. Raising them is left to the
+//! module, which knows what the owner can take now.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -103,22 +106,22 @@
     fn has_handover(&self, slice: SliceId) -> bool;
 }
 
-/// Plans a rollback from the set `now` to the set `old`: for each of the given slices, or by default for all slices of
-/// both sets, the action that it would take.
+/// Plans a rollback from the set `current` to the set `old`: for each of the given slices, or by default for all slices
+/// of both sets, the action that it would take.
 pub fn dry_run(
     old: &TableSet,
-    now: &TableSet,
+    current: &TableSet,
     slices: Option<&BTreeSet<SliceId>>,
     fleet: &impl ServerView,
 ) -> BTreeMap<SliceId, PlannedAction> {
     let all: BTreeSet<SliceId> =
-        slices.cloned().unwrap_or_else(|| old.keys().chain(now.keys()).copied().collect());
-    all.into_iter().map(|slice| (slice, plan_slice(slice, old, now, fleet))).collect()
+        slices.cloned().unwrap_or_else(|| old.keys().chain(current.keys()).copied().collect());
+    all.into_iter().map(|slice| (slice, plan_slice(slice, old, current, fleet))).collect()
 }
 
 /// Plans the action for one slice.
-fn plan_slice(slice: SliceId, old: &TableSet, now: &TableSet, fleet: &impl ServerView) -> PlannedAction {
-    let Some(table) = now.get(&slice) else { return PlannedAction::Refused(Reason::NotOurs) };
+fn plan_slice(slice: SliceId, old: &TableSet, current: &TableSet, fleet: &impl ServerView) -> PlannedAction {
+    let Some(table) = current.get(&slice) else { return PlannedAction::Refused(Reason::NotOurs) };
     let Some(to) = old.get(&slice).and_then(|table| table.owner.clone()) else {
         return PlannedAction::Refused(Reason::NoOwnerThen);
     };
@@ -138,22 +141,22 @@
     PlannedAction::Move { to }
 }
 
-/// The levels that a rollback may lower at once: for each slice whose owner is the same in both sets, the lower one of
-/// the old and the current share of each method, if any is lower than now.
+/// The levels that could safely be lowered at once (a rollback does not do it): for each slice whose owner is the
+/// same in both sets, the lower one of the old and the current share of each method, if any is lower than now.
 pub fn lowered_levels(
     old: &TableSet,
-    now: &TableSet,
+    current: &TableSet,
     slices: Option<&BTreeSet<SliceId>>,
 ) -> BTreeMap<SliceId, Vec<f64>> {
     let wanted = |slice: &SliceId| slices.is_none_or(|only| only.contains(slice));
     let mut levels = BTreeMap::new();
-    for (slice, table) in now.iter().filter(|(slice, _)| wanted(slice)) {
+    for (slice, table) in current.iter().filter(|(slice, _)| wanted(slice)) {
         let Some(before) = old.get(slice).filter(|before| before.owner == table.owner) else { continue };
         if before.shares.len() != table.shares.len() {
             continue;
         }
         let lower: Vec<f64> =
-            table.shares.iter().zip(&before.shares).map(|(now, old)| now.min(*old)).collect();
+            table.shares.iter().zip(&before.shares).map(|(current, old)| current.min(*old)).collect();
         if lower != table.shares {
             levels.insert(*slice, lower);
         }
@@ -240,7 +243,7 @@
     }
 
     /// Evaluates all moves against the current set. Returns the moves to request from the module. Each is returned
-    /// once, and again only after [`Rollback::put_back`] or [`Rollback::recovered`].
+    /// once, and again only after [`Rollback::reopen`] or [`Rollback::resume`].
     pub fn update(
         &mut self,
         now: Duration,
