--- a/crates/whinhill-assigner/src/assigner.rs
+++ b/crates/whinhill-assigner/src/assigner.rs
@@ -54,6 +54,12 @@
 const MIN_INPUT_WAIT: Duration = Duration::from_millis(2);
 /// How long a start retries while the disk refuses; then it fails, so that the supervisor of the process notices.
 const DISK_RETRY_DURATION: Duration = Duration::from_secs(30);
+/// Connections that the listener accepts for each proxy that may be connected.
+const CONNECTIONS_PER_PROXY: usize = 2;
+/// Connections that the listener accepts in addition to those for the proxies.
+const EXTRA_CONNECTIONS: usize = 16;
+/// Delay between the end of the streams and closing the listener, on a stop.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(50);
 /// The stack size of each thread.
 const THREAD_STACK_BYTES: usize = 512 << 10;
 
@@ -179,7 +185,7 @@
         }
         let accepting_hub = hub.clone();
         let limits = Limits {
-            max_connections: config.proxies_most * 2 + 16,
+            max_connections: config.proxies_most * CONNECTIONS_PER_PROXY + EXTRA_CONNECTIONS,
             idle: Duration::from_secs(30),
             keep_alive: Duration::from_secs(2),
             keep_alive_timeout: Duration::from_secs(2),
@@ -307,7 +313,7 @@
         while self.hub.connected() > 0 && Instant::now() < deadline {
             thread::park_timeout(Duration::from_millis(10));
         }
-        thread::park_timeout(Duration::from_millis(50));
+        thread::park_timeout(LISTENER_CLOSE_DELAY);
         self.listener = None;
         info!("assigner stopped");
     }
@@ -649,15 +655,15 @@
         self.status.grants_waiting = self.core.publisher().pending_grants() as u64;
         self.status.bytes_sent = get(&self.counters.bytes);
         self.status.store_failures = get(&self.counters.store_failures);
-        let (ledger, queued_tries, shown) = self.core.load_reports();
+        let (ledger, queued_tries, stats) = self.core.load_reports();
         self.status.reports_offered = ledger.offered;
         self.status.reports_given = ledger.given;
         self.status.reports_waiting = queued_tries;
         self.status.reports_late = ledger.late;
         self.status.reports_doubted = ledger.doubted;
-        self.status.reports_heard_percent = (shown.coverage * 1000.0).round() / 10.0;
-        self.status.reports_lag_ms_most = shown.max_lag.as_millis() as u64;
-        let [_, _, silent, cut] = shown.proxies_by_state;
+        self.status.reports_heard_percent = (stats.coverage * 1000.0).round() / 10.0;
+        self.status.reports_lag_ms_most = stats.max_lag.as_millis() as u64;
+        let [_, _, silent, cut] = stats.proxies_by_state;
         (self.status.proxies_silent, self.status.proxies_cut) = (silent as u64, cut as u64);
         let (ack_latency, full_ack_latency) = self.core.ack_latencies();
         let quantile = |of: &hdrhistogram::Histogram<u64>, q: f64| of.value_at_quantile(q);
--- a/crates/whinhill-assigner/src/config.rs
+++ b/crates/whinhill-assigner/src/config.rs
@@ -157,8 +157,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum MethodEffect {
+    // Plain comments: doc comments of the variants would change the published schema.
+    // It may be repeated.
     Idempotent,
+    // Repeats within a window are dropped by the servers.
     Tokened,
+    // It must not be repeated after it may have run.
     NonIdempotent,
 }
 
--- a/crates/whinhill-assigner/src/core.rs
+++ b/crates/whinhill-assigner/src/core.rs
@@ -79,7 +79,8 @@
     pub left_proxies: Vec<ProxyId>,
     /// New report intervals of proxies.
     pub report_intervals: Vec<(ProxyId, Duration)>,
-    /// Whether the module asked for the list of servers.
+    /// Whether the module asked for the list of servers. Nothing needs to be done: the thread that reads the list
+    /// follows its source by itself, and retries after a failure.
     pub fetch_roster: bool,
     /// What the history file must persist.
     pub history_update: Option<NumberedUpdate>,
@@ -118,7 +119,7 @@
     /// Sabotage: treat each ack sequence number as acknowledged at once.
     skip_ack_wait: bool,
     /// Whether a first list of servers has arrived.
-    started: bool,
+    list_received: bool,
     /// Events from before the first list; the module gets them together with that list.
     events_before_first_list: Vec<Event>,
     grants_ordered: u64,
@@ -127,7 +128,9 @@
     /// Too little load is reported to decide anything on it.
     load_unknown: bool,
     history_recorder: HistoryRecorder,
+    /// How long an owner is withheld for the history file at most.
     max_withhold: Duration,
+    /// The wall-clock time of this batch.
     unix_ms: u64,
     /// Requests of this batch that are still to be answered, with their ids.
     operator_requests: Vec<(u64, OperatorRequest)>,
@@ -183,7 +186,7 @@
             ack_latency: latency_histogram(),
             full_ack_latency: latency_histogram(),
             skip_ack_wait: config.sabotage.skips_the_wait,
-            started: false,
+            list_received: false,
             events_before_first_list: Vec::new(),
             grants_ordered: 0,
             history_recorder: HistoryRecorder::new(
@@ -235,7 +238,7 @@
     }
 
     /// Report lines since the start that name an unknown cluster or server.
-    pub fn unreadable_report_lines(&self) -> u64 {
+    pub fn unresolved_report_lines(&self) -> u64 {
         self.reports.ledger().strange
     }
 
@@ -328,7 +331,7 @@
                 names.server_name(index).map_or(0, |name| xxhash_rust::xxh3::xxh3_64(name.as_bytes()));
             EndpointId { index, stable_id }
         };
-        if self.started {
+        if self.list_received {
             let report_lines = self.reports.output_due_lines(now);
             events.extend(report_lines.iter().map(|line| to_event(line, endpoint)));
             let load_unknown = self.reports.is_coverage_too_low();
@@ -339,7 +342,7 @@
         if now >= self.next_wake {
             events.push(Event::Timer);
         }
-        if !self.started {
+        if !self.list_received {
             events.retain(|event| *event != Event::Timer);
             self.events_before_first_list = events;
             return;
@@ -369,7 +372,7 @@
     ) {
         match input {
             Input::Roster { kind, entries, unix_ms } => {
-                self.started = true;
+                self.list_received = true;
                 let entry = |entry: RosterEntry| self.server_entry(now, entry, unix_ms);
                 let entries = entries.into_iter().map(entry).collect();
                 if matches!(kind, ListKind::Full | ListKind::Changes) {
@@ -456,11 +459,11 @@
 
     /// The answer to a request for the state of load reporting.
     fn reports_answer(&self, now: Duration) -> OperatorResponse {
-        let (ledger, shown) = (*self.reports.ledger(), *self.reports.stats());
+        let (ledger, stats) = (*self.reports.ledger(), *self.reports.stats());
         let proxy_line =
-            |(id, hearing, late, rate): (ProxyId, ReportingState, Duration, Option<f64>)| ProxyLoadStatus {
+            |(id, state, late, rate): (ProxyId, ReportingState, Duration, Option<f64>)| ProxyLoadStatus {
                 proxy: self.names.proxy_name(id).to_string(),
-                hearing: hearing.name().to_string(),
+                hearing: state.name().to_string(),
                 late_ms: late.as_millis() as u64,
                 tries_per_s: rate.unwrap_or(0.0),
             };
@@ -477,14 +480,14 @@
             mended: ledger.mended,
             thinned: ledger.thinned,
             conserved: ledger.conserved(self.reports.held_tries()),
-            lines_ready: shown.ready_lines,
-            lines_given: shown.output_lines,
-            lines_unsure: shown.held_back_lines,
-            error_most: shown.max_relative_error,
-            heard: shown.coverage,
+            lines_ready: stats.ready_lines,
+            lines_given: stats.output_lines,
+            lines_unsure: stats.held_back_lines,
+            error_most: stats.max_relative_error,
+            heard: stats.coverage,
             blind: self.load_unknown,
-            lag_ms_middle: shown.median_lag.as_millis() as u64,
-            lag_ms_most: shown.max_lag.as_millis() as u64,
+            lag_ms_middle: stats.median_lag.as_millis() as u64,
+            lag_ms_most: stats.max_lag.as_millis() as u64,
             proxies: self.reports.proxies(now).into_iter().map(proxy_line).collect(),
         }))
     }
@@ -631,13 +634,13 @@
 }
 
 /// The log line for when reported load becomes too little to decide on, or enough again.
-fn load_state_message(load_unknown: bool, shown: &IntakeStats) -> String {
-    let [heard, quiet, silent, cut] = shown.proxies_by_state;
+fn load_state_message(load_unknown: bool, stats: &IntakeStats) -> String {
+    let [heard, quiet, silent, cut] = stats.proxies_by_state;
     let state =
         if load_unknown { "too little is heard: nothing is decided on it" } else { "enough is heard again" };
     format!(
         "load reports: {state}; {:.0}% of the expected load, {heard} proxies heard, {quiet} quiet, {silent} silent, {cut} cut",
-        shown.coverage * 100.0
+        stats.coverage * 100.0
     )
 }
 
--- a/crates/whinhill-assigner/src/custody_thread.rs
+++ b/crates/whinhill-assigner/src/custody_thread.rs
@@ -15,6 +15,10 @@
 
 /// Grants that are sent to the store in one exchange.
 const MAX_GRANTS_PER_EXCHANGE: usize = 256;
+/// The liveness key is renewed this often in the time that it lasts.
+const RENEWALS_PER_TTL: u32 = 4;
+/// How often the thread checks for a stop and for the end of its lease while no grant arrives.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The end of this assigner's custody lease, on its clock in microseconds, shared with threads that must not act
 /// after it; 0 without a lease.
@@ -60,7 +64,7 @@
 
     /// Runs until the assigner stops, then releases all slices in order.
     pub fn run(mut self) {
-        let renewal_interval = self.custody.config().ttl / 4;
+        let renewal_interval = self.custody.config().ttl / RENEWALS_PER_TTL;
         let mut next_renewal = Instant::now();
         while !self.stop.load(Ordering::Relaxed) {
             // First after each wait: a process that was paused past the end of its lease must not act on it.
@@ -69,7 +73,7 @@
                 next_renewal = Instant::now() + renewal_interval;
                 self.renew_and_reconcile();
             }
-            let wait = next_renewal.saturating_duration_since(Instant::now()).min(Duration::from_millis(20));
+            let wait = next_renewal.saturating_duration_since(Instant::now()).min(POLL_INTERVAL);
             match self.grants.recv_timeout(wait) {
                 Ok(first) => {
                     let mut batch = vec![first];
--- a/crates/whinhill-assigner/src/full_set_pacer.rs
+++ b/crates/whinhill-assigner/src/full_set_pacer.rs
@@ -9,7 +9,8 @@
 
 /// A response with at least this many lines counts as a full set; a shorter one carries an order.
 const FULL_SET_MIN_LINES: usize = 64;
-/// How long a full set waits for orders at most: a proxy that joins during a release serves nothing until it has one.
+/// How long a full set waits for orders at most: a proxy that joins while servers are being replaced serves nothing
+/// until it has a full set.
 const MAX_YIELD: Duration = Duration::from_millis(500);
 /// The shortest delay before the next attempt, since a whole fleet may be waiting.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/crates/whinhill-assigner/src/history_recorder.rs
+++ b/crates/whinhill-assigner/src/history_recorder.rs
@@ -22,6 +22,7 @@
 /// A history update for the file. Once it is persisted, [`HistoryRecorder::on_persisted`] is called with its number or a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedUpdate {
+    /// Its number; a merged update has the number of the last one in it.
     pub seq: u64,
     pub update: HistoryUpdate,
 }
--- a/crates/whinhill-assigner/src/hub.rs
+++ b/crates/whinhill-assigner/src/hub.rs
@@ -21,6 +21,10 @@
 
 /// How often a thread that waits for a peer checks whether its stream has ended. Anything more urgent wakes it.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The write lease is renewed this often in the time that it lasts.
+const HEARTBEATS_PER_WRITE_LEASE: u32 = 5;
+/// The stack size of each stream's threads.
+const STREAM_STACK_BYTES: usize = 192 << 10;
 /// Delay before a lease renewal is retried that could not be sent because a response was due or unacknowledged.
 const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A stream is closed when the proxy reads nothing for this long.
@@ -116,7 +120,7 @@
         config: HubConfig,
     ) -> Self {
         // Reader and writer of a table stream, and one thread for load reports.
-        let workers = Workers::new("stream", config.max_proxies * 3 + 8, 192 << 10);
+        let workers = Workers::new("stream", config.max_proxies * 3 + 8, STREAM_STACK_BYTES);
         let methods_of = |slice| (0..service.methods.len()).map(move |method| (slice, method));
         let all = (0..service.slices).flat_map(methods_of);
         let cluster_names = all.map(|(slice, method)| service.cluster_name(slice, method).into()).collect();
@@ -373,7 +377,7 @@
 
     /// Writes a table stream's responses and lease renewals until it ends.
     fn write_responses(&self, stream: &Arc<Stream>, mut writer: MessageWriter, woken: &Receiver<()>) {
-        let heartbeat_interval = self.service.write_lease / 5;
+        let heartbeat_interval = self.service.write_lease / HEARTBEATS_PER_WRITE_LEASE;
         let listener = self.service.listener_name(true);
         let mut next_heartbeat = Instant::now() + heartbeat_interval;
         let mut all_acked_at = Instant::now();
--- a/crates/whinhill-assigner/src/lib.rs
+++ b/crates/whinhill-assigner/src/lib.rs
@@ -3,7 +3,7 @@
 //! The sources of inputs (server list, load reports, probes, streams, custody) put them into one bounded queue. The
 //! decision thread drains it into a batch, lets [`Core`] decide, and carries out the effects: tables go to the cache,
 //! changes to the rate-limited [`Channel`], grants to the store, probes to their threads. [`Core`], the channel and
-//! the intake of reports have no I/O and no clock; the threads and sockets around them contain no rules.
+//! the report aggregator have no I/O and no clock; the threads and sockets around them contain no rules.
 
 mod acked_versions;
 mod assigner;
--- a/crates/whinhill-assigner/src/name_index.rs
+++ b/crates/whinhill-assigner/src/name_index.rs
@@ -64,7 +64,7 @@
     pub fn zone_id(&mut self, name: &str) -> ZoneId {
         let position = self.zones.iter().position(|zone| zone == name);
         position.unwrap_or_else(|| {
-            // Peers may send any name: beyond the limit all unknown zones are treated as one.
+            // Peers may send any name: beyond the limit all unknown zones are treated as the last known one.
             if self.zones.len() < MAX_ZONES {
                 self.zones.push(name.to_string());
             }
--- a/crates/whinhill-assigner/src/operator_api.rs
+++ b/crates/whinhill-assigner/src/operator_api.rs
@@ -54,8 +54,8 @@
     Reports,
 }
 
-/// The state of load reporting. Counts are of tries since the start, except `reports`, `strange` and the counts of
-/// lines.
+/// The state of load reporting. Counts are since the start. `reports`, `mended` and `thinned` count reports, `strange`
+/// counts lines, and the others count tries, as in [`whinhill_reports::Ledger`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReportStatus {
     pub reports: u64,
@@ -83,6 +83,7 @@
     pub heard: f64,
     /// Too little load is reported to decide anything on it.
     pub blind: bool,
+    /// The median and the greatest lag of the proxies that report.
     pub lag_ms_middle: u64,
     pub lag_ms_most: u64,
     /// All proxies, the worst first.
@@ -95,6 +96,7 @@
     pub proxy: String,
     /// The state of its reports: heard, quiet, silent or cut.
     pub hearing: String,
+    /// The lag of its last report.
     pub late_ms: u64,
     pub tries_per_s: f64,
 }
@@ -109,6 +111,7 @@
     pub author: Author,
     pub cause: String,
     pub good: bool,
+    /// The number of slices that this version changed.
     pub slices: usize,
 }
 
@@ -159,6 +162,7 @@
 pub enum OperatorResponse {
     History {
         current: u64,
+        /// The number of versions compacted so far.
         compacted: u64,
         versions: Vec<VersionSummary>,
     },
@@ -176,9 +180,11 @@
         number: u64,
     },
     Plan {
+        /// The rollback's id; `None` for a dry run.
         id: Option<u64>,
         to: u64,
         slices: Vec<SlicePlan>,
+        /// The number of slices whose levels were lower in that version; the rollback leaves them to the module.
         levels_left: usize,
     },
     Rollbacks(Vec<RollbackStatus>),
--- a/crates/whinhill-assigner/src/operator_client.rs
+++ b/crates/whinhill-assigner/src/operator_client.rs
@@ -7,7 +7,8 @@
 
 use crate::operator_api::{OperatorRequest, OperatorResponse, OPERATOR_METHOD_PATH};
 
-/// Longer than the assigner takes to report that it can't answer.
+/// Longer than the assigner takes to report that it can't answer: it waits up to 10 s to queue the request and up to
+/// 10 s for the answer (`OPERATOR_TIMEOUT`).
 const CALL_TIMEOUT: Duration = Duration::from_secs(25);
 /// The largest answer: a whole history is one message.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -1,4 +1,5 @@
-//! Converts load reports from the wire to the intake's form, and the intake's lines to events of the module. No I/O.
+//! Converts load reports from the wire to the aggregator's form, and the aggregator's lines to events of the module.
+//! No I/O.
 
 use std::time::Duration;
 
@@ -52,7 +53,7 @@
     reported
 }
 
-/// The module's event for a line of the intake.
+/// The module's event for a line of the aggregator.
 pub fn to_event(line: &MergedLine, endpoint: impl Fn(usize) -> EndpointId) -> Event {
     let (figures, interval) = (&line.figures, line.interval);
     match line.key {
--- a/crates/whinhill-assigner/src/status.rs
+++ b/crates/whinhill-assigner/src/status.rs
@@ -11,8 +11,10 @@
     pub uptime_ms: u64,
     pub slices: u64,
     pub proxies: u64,
+    /// Grants ordered.
     pub handovers: u64,
     pub nacks: u64,
+    /// Table streams opened.
     pub streams: u64,
     pub stale_acks: u64,
     /// How often a proxy was found to have other tables than it had acknowledged.
@@ -39,6 +41,7 @@
     /// Proxies whose report stream is open without reports, and those whose stream is gone.
     pub proxies_silent: u64,
     pub proxies_cut: u64,
+    /// Batches that the decision thread handled, and the longest and the total time of handling them, in microseconds.
     pub batches: u64,
     pub batch_us_most: u64,
     pub batch_us_sum: u64,
