--- a/crates/whinhill-assigner/src/reports.rs
+++ b/crates/whinhill-assigner/src/reports.rs
@@ -1,4 +1,5 @@
-//! Converts load reports from the wire to the form of the aggregator, and its lines to events of the module. No I/O.
+//! Converts load reports from the wire to the aggregator's form, and the aggregator's lines to events of the module.
+//! No I/O.
 
 use std::time::Duration;
 
