--- a/crates/whinhill-cli/src/bench_decisions.rs
+++ b/crates/whinhill-cli/src/bench_decisions.rs
@@ -1,5 +1,5 @@
-//! `whinhill bench decisions`: measures the cost of the module at a fleet's size, with synthetic events instead of a
-//! fleet.
+//! `whinhill bench decisions`: measures the cost of the decision module (crate `whinhill`) at a fleet's size, with
+//! synthetic events instead of a fleet.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
--- a/crates/whinhill-cli/src/bench_proxy.rs
+++ b/crates/whinhill-cli/src/bench_proxy.rs
@@ -59,9 +59,9 @@
     sets_told: u64,
     under_sets: Vec<TargetFigures>,
     added_under_sets: Option<Added>,
-    /// The longest time for which applying a set blocked RPCs from reading the table.
+    /// The longest time for which applying a set blocked RPCs from reading the table, in microseconds.
     pause_us_most: u64,
-    /// Resident memory at rest and with the RPCs open, and the difference per thousand RPCs.
+    /// Resident memory in KiB, at rest and with the RPCs open, and the difference per thousand RPCs.
     rest_kb: u64,
     open: usize,
     open_kb: u64,
@@ -119,7 +119,7 @@
         keys: 10_000,
         bytes: 64,
         deadline_ms: 2000,
-        in_hand: 256,
+        in_flight: 256,
         connections: 4,
         seed: 1,
         headers: proxy_headers.iter().map(|(name, value)| (name.to_string(), value.clone())).collect(),
--- a/crates/whinhill-cli/src/load.rs
+++ b/crates/whinhill-cli/src/load.rs
@@ -49,8 +49,8 @@
     #[arg(long, default_value_t = 2000)]
     pub deadline_ms: u64,
     /// Maximum RPCs in flight; further due RPCs wait, and their wait counts as latency.
-    #[arg(long, default_value_t = 256)]
-    pub in_hand: usize,
+    #[arg(long = "in-hand", value_name = "IN_HAND", default_value_t = 256)]
+    pub in_flight: usize,
     /// Connections to each target.
     #[arg(long, default_value_t = 4)]
     pub connections: usize,
@@ -110,6 +110,7 @@
     pub to: SocketAddr,
     pub sent: u64,
     pub ok: u64,
+    /// RPCs answered with UNAVAILABLE or RESOURCE_EXHAUSTED.
     pub pushed_back: u64,
     /// RPCs not answered by the deadline.
     pub late: u64,
@@ -291,7 +292,7 @@
 /// Runs the load and returns the figures.
 pub fn measure(args: &LoadArgs) -> Result<Figures, CommandError> {
     let valid_load = args.rate > 0.0 && args.rate <= 200_000.0 && args.seconds > 0.0 && args.warm_up >= 0.0;
-    let valid_limits = (1..=10_000).contains(&args.in_hand) && (1..=1000).contains(&args.connections);
+    let valid_limits = (1..=10_000).contains(&args.in_flight) && (1..=1000).contains(&args.connections);
     if !valid_load || !valid_limits || args.keys == 0 || !args.path.starts_with('/') {
         return Err(CommandError::Usage(
             "expected: rate up to 200000, seconds and keys over 0, in-hand up to 10000, connections up to 1000, a path with a leading /".into(),
@@ -308,7 +309,7 @@
     let headers: Vec<(&'static str, String)> = args.headers.iter().map(static_header).collect();
     let (rpc_sender, rpc_receiver) = bounded(MAX_DUE_RPCS);
     let mut threads = Vec::new();
-    for number in 0..args.in_hand {
+    for number in 0..args.in_flight {
         let sender = RpcSender {
             targets: targets.clone(),
             due_rpcs: rpc_receiver.clone(),
--- a/crates/whinhill-cli/src/reports/soak.rs
+++ b/crates/whinhill-cli/src/reports/soak.rs
@@ -1,6 +1,6 @@
 //! `whinhill reports soak`: simulated proxies send load reports over real streams, through a script of failures. The
-//! lines that the module would get are compared with the true load; a baseline intake, which outputs the oldest sums
-//! first, gets the same reports.
+//! lines that the decision module would get are compared with the true load; a baseline intake, which outputs the
+//! oldest sums first, gets the same reports.
 //!
 //! Loads are constant, with a phase for each proxy and slice, so that deviations are not due to random counts.
 
@@ -78,13 +78,13 @@
 }
 
 /// Last period before the failures begin; deviations are measured from 8 periods earlier.
-const STEADY_FROM: u64 = 25;
+const LAST_PERIOD_BEFORE_FAILURES: u64 = 25;
 /// Proxy 9 sends no reports, then all of them at once.
 const BACKLOG: Phase = Phase { after: 25, last: 85 };
 /// Every third proxy is disconnected.
-const CUT: Phase = Phase { after: 105, last: 114 };
+const DISCONNECTED: Phase = Phase { after: 105, last: 114 };
 /// Proxy 7 reports a hundred times its tries.
-const LIAR: Phase = Phase { after: 125, last: 129 };
+const INFLATED: Phase = Phase { after: 125, last: 129 };
 /// A tenth of the proxies sends no reports.
 const SILENT: Phase = Phase { after: 140, last: 155 };
 /// Last period of the script.
@@ -141,7 +141,7 @@
     Report(usize, Instant, Box<proto::LoadStatsRequest>),
 }
 
-/// The load as the module would estimate it from its lines alone.
+/// The load as the decision module would estimate it from its lines alone.
 #[derive(Default)]
 struct ModuleView {
     rates: BTreeMap<Key, f64>,
@@ -274,7 +274,7 @@
     }
 
     fn is_cut_off(&self, proxy: usize, period: u64) -> bool {
-        proxy.is_multiple_of(3) && CUT.contains(period)
+        proxy.is_multiple_of(3) && DISCONNECTED.contains(period)
     }
 
     /// The reports that a proxy sends at the end of a period.
@@ -287,7 +287,7 @@
         match (proxy, period) {
             // All reports of the backlog at once.
             (9, period) if period == BACKLOG.last + 1 => (BACKLOG.after + 1..=period).map(ordinary).collect(),
-            (7, period) if LIAR.contains(period) => vec![self.report(proxy, period, 1, 100.0, interval)],
+            (7, period) if INFLATED.contains(period) => vec![self.report(proxy, period, 1, 100.0, interval)],
             // Intervals of zero and of an hour.
             (11, 60..70) => vec![self.report(proxy, period, 1, 1.0, Duration::ZERO)],
             (12, 60..70) => vec![self.report(proxy, period, 1, 1.0, Duration::from_secs(3600))],
@@ -303,7 +303,7 @@
             }
             // The first report after a disconnection covers all of it.
             (proxy, period) if self.is_cut_off(proxy, period - 1) => {
-                let periods = period - CUT.after;
+                let periods = period - DISCONNECTED.after;
                 vec![self.report(proxy, period, periods, 1.0, interval * periods as u32)]
             }
             (proxy, period) if self.is_silent(proxy, period - 1) => {
@@ -407,7 +407,7 @@
             }
         }
         // After the end, proxies leave one by one.
-        if !(STEADY_FROM - 8..END).contains(&period) {
+        if !(LAST_PERIOD_BEFORE_FAILURES - 8..END).contains(&period) {
             return;
         }
         let mut shares = vec![0.0; true_shares.len()];
@@ -425,8 +425,8 @@
         let figures = &mut self.figures;
         let swings_by_phase = [
             (BACKLOG, &mut figures.swing_backlog),
-            (CUT, &mut figures.swing_cut),
-            (LIAR, &mut figures.swing_liar),
+            (DISCONNECTED, &mut figures.swing_cut),
+            (INFLATED, &mut figures.swing_liar),
             (SILENT, &mut figures.swing_silent),
         ];
         let mut steady = true;
@@ -443,10 +443,12 @@
         if SILENT.after + 2 < period && period <= SILENT.last {
             figures.silent_total_off = figures.silent_total_off.max((total / rate - 1.0).abs());
         }
-        let last_end =
-            [BACKLOG, CUT, LIAR, SILENT].into_iter().map(|phase| phase.last + 1).rfind(|end| *end <= period);
+        let last_end = [BACKLOG, DISCONNECTED, INFLATED, SILENT]
+            .into_iter()
+            .map(|phase| phase.last + 1)
+            .rfind(|end| *end <= period);
         // During another phase, deviations are not due to the last one.
-        let in_progress = [BACKLOG, CUT, LIAR, SILENT]
+        let in_progress = [BACKLOG, DISCONNECTED, INFLATED, SILENT]
             .into_iter()
             .any(|phase| phase.after <= period && period <= phase.last);
         if let (true, Some(end)) = (swing > 0.05 && !in_progress, last_end) {
--- a/crates/whinhill-cli/src/table_soak.rs
+++ b/crates/whinhill-cli/src/table_soak.rs
@@ -1,7 +1,7 @@
 //! `whinhill table soak`: simulates the publishing of tables in accelerated time. It runs an assigner's table
-//! publisher, history recorder and history file; proxies that lose, repeat and reorder deltas and reconnect; rollbacks; and
-//! crashes between any two steps. It checks that each proxy ends with the same tables as a full rebuild, and that no
-//! proxy receives a former owner after any proxy has received a later one.
+//! publisher, history recorder and history file; proxies that lose, repeat and reorder deltas and reconnect;
+//! rollbacks; and crashes between any two steps. It checks that each proxy ends with the same tables as a full rebuild,
+//! and that no proxy receives a former owner after any proxy has received a later one.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::Path;
@@ -128,7 +128,7 @@
     store: Vec<StoredSlice>,
     /// By slice: the first version of each owner term, and the newest term that any proxy has held.
     owner_terms: Vec<BTreeMap<Version, u64>>,
-    newest_followed: Vec<u64>,
+    newest_held_term: Vec<u64>,
     /// Handovers in progress, by slice.
     handovers: BTreeMap<usize, Handover>,
     pending_grants: Vec<PendingGrant>,
@@ -180,7 +180,7 @@
             proxies: (0..args.proxies).map(|_| Proxy { needs_full_set: true, ..Proxy::default() }).collect(),
             store: (0..args.slices).map(stored).collect(),
             owner_terms: vec![BTreeMap::new(); args.slices],
-            newest_followed: vec![0; args.slices],
+            newest_held_term: vec![0; args.slices],
             handovers: BTreeMap::new(),
             pending_grants: Vec::new(),
             published: NumberedSet::default(),
@@ -323,11 +323,11 @@
         for (&slice, table) in self.proxies[number].held.set() {
             let term =
                 self.owner_terms[slice].range(..=table.version).next_back().map_or(0, |(_, term)| *term);
-            if table.owner.is_some() && term < self.newest_followed[slice] {
+            if table.owner.is_some() && term < self.newest_held_term[slice] {
                 self.figures.owner_order_breaks += 1;
             }
-            self.newest_followed[slice] =
-                self.newest_followed[slice].max(if table.owner.is_some() { term } else { 0 });
+            self.newest_held_term[slice] =
+                self.newest_held_term[slice].max(if table.owner.is_some() { term } else { 0 });
         }
     }
 
@@ -357,8 +357,8 @@
             .map(|(slice, _)| *slice)
             .collect();
         for slice in ready {
-            // No proxy may hold the former owner or have it in transit. The module ensures this by waiting for the
-            // acknowledgements of all proxies.
+            // No proxy may hold the former owner or have it in transit. The decision module ensures this by
+            // waiting for the acknowledgements of all proxies.
             let has_owner = |set: &TableSet| set.get(&slice).is_some_and(|table| table.owner.is_some());
             let must_wait_for = |proxy: &Proxy| {
                 has_owner(proxy.held.set()) || proxy.in_transit.iter().any(|delta| has_owner(&delta.changed))
--- a/crates/whinhill-cli/tests/days.rs
+++ b/crates/whinhill-cli/tests/days.rs
@@ -90,7 +90,7 @@
     for field in ["rollbacks", "crashes", "refused_deltas"] {
         assert!(outcome[field].as_u64().unwrap() > 0, "{field}: {outcome}");
     }
-    // The soak must detect an agent that releases slices without being told to.
+    // With --sabotage, slices are granted without waiting for the proxies. The soak must detect it.
     let sabotaged = whinhill(&["table", "soak", "--steps", "3000", "--sabotage", "--json"]);
     let stderr = String::from_utf8_lossy(&sabotaged.stderr).to_string();
     assert_eq!(sabotaged.status.code(), Some(1));
--- a/crates/whinhill-cli/tests/ending.rs
+++ b/crates/whinhill-cli/tests/ending.rs
@@ -114,7 +114,7 @@
     for seed in 0..9 {
         let (_folder, path) = write_config(&config(unused_address(), unused_address()));
         let (mut assigner, addr) = AssignerProcess::start(&path);
-        // 180 fill all places before the signals.
+        // 180 fill all connection slots before the signals.
         let connected = if seed % 3 == 1 { 180 } else { 40 };
         let clients = start_clients(addr, connected, connected, seed);
         thread::sleep(Duration::from_millis(600));
@@ -185,7 +185,7 @@
 }
 
 /// No kill comes, and clients never stop. Clients that check for a close before each request must lose nothing, even
-/// with more clients than places, and the process must exit within its limit.
+/// with more clients than connection slots, and the process must exit within its limit.
 #[test]
 fn process_exits_in_time_and_loses_no_answer_while_clients_keep_sending() {
     for clients in [40, 240] {
--- a/crates/whinhill-cli/tests/open_connections.rs
+++ b/crates/whinhill-cli/tests/open_connections.rs
@@ -113,7 +113,7 @@
 }
 
 /// A client that keeps sending requests must not be refused for not having joined. Requests of twice as many clients as
-/// there are places must be answered too.
+/// there are connection slots must be answered too.
 #[test]
 fn more_active_clients_than_places_are_all_answered() {
     let (_folder, path) = write_config(&config(unused_address(), unused_address()));
@@ -134,7 +134,8 @@
     assert!(tally.slowest < Duration::from_secs(2), "{tally:?}");
 }
 
-/// All places are taken and answers wait to be written: no connection may be closed before its answer has been sent.
+/// All connection slots are taken and answers wait to be written: no connection may be closed before its answer has
+/// been sent.
 #[test]
 fn more_clients_than_places_are_answered_despite_blocked_writes() {
     let (_folder, path) = write_config(&config(unused_address(), unused_address()));
--- a/crates/whinhill-standins/src/bench.rs
+++ b/crates/whinhill-standins/src/bench.rs
@@ -24,11 +24,15 @@
     pub in_time_share: f64,
     pub rules_broken: u64,
     pub handovers: u64,
+    /// Time of an assigner's batch of events.
     pub batch_us_mean: f64,
     pub batch_us_most: u64,
+    /// Processor time of the assigners, as a share of their running time.
     pub cpu_share: f64,
+    /// Time from an order to its acknowledgement by one proxy; the largest quantile of any assigner.
     pub answer_ms_p50: f64,
     pub answer_ms_p99: f64,
+    /// Time from an order to its acknowledgement by the last of the proxies that had joined; likewise.
     pub all_ms_p50: f64,
     pub all_ms_p99: f64,
     pub bytes_sent: u64,
@@ -111,9 +115,9 @@
     callers: usize,
     seconds: f64,
 ) -> Result<CallFigures, BenchError> {
-    let new =
+    let new_histogram =
         || Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| io::Error::other(e.to_string()));
-    let (all, failed) = (Mutex::new(new()?), Mutex::new(0u64));
+    let (latencies_us, failed) = (Mutex::new(new_histogram()?), Mutex::new(0u64));
     let stop = AtomicBool::new(false);
     let connections = callers.div_ceil(8);
     let clients: Vec<Client> = (0..connections)
@@ -122,9 +126,10 @@
     let began = Instant::now();
     thread::scope(|scope| {
         for number in 0..callers {
-            let (client, all, failed, stop) = (&clients[number % connections], &all, &failed, &stop);
+            let (client, latencies_us, failed, stop) =
+                (&clients[number % connections], &latencies_us, &failed, &stop);
             scope.spawn(move || {
-                let Ok(mut latencies_us) = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3) else {
+                let Ok(mut own_latencies_us) = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3) else {
                     return;
                 };
                 let (mut failures, mut rpc) = (0, number as u64);
@@ -140,26 +145,26 @@
                         Bytes::from_static(b"a request"),
                         Duration::from_secs(5),
                     ) {
-                        Ok(_) => latencies_us.saturating_record(began.elapsed().as_micros() as u64),
+                        Ok(_) => own_latencies_us.saturating_record(began.elapsed().as_micros() as u64),
                         Err(_) => failures += 1,
                     }
                 }
                 // Adding fails only for histograms with different bounds.
-                let _ = all.lock().unwrap_or_else(PoisonError::into_inner).add(&latencies_us);
+                let _ = latencies_us.lock().unwrap_or_else(PoisonError::into_inner).add(&own_latencies_us);
                 *failed.lock().unwrap_or_else(PoisonError::into_inner) += failures;
             });
         }
         thread::sleep(Duration::from_secs_f64(seconds));
         stop.store(true, Ordering::Relaxed);
     });
-    let all = all.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let latencies_us = latencies_us.into_inner().unwrap_or_else(PoisonError::into_inner);
     Ok(CallFigures {
         path: name,
         callers,
-        rpcs_per_s: all.len() as f64 / began.elapsed().as_secs_f64(),
-        p50_us: all.value_at_quantile(0.5),
-        p99_us: all.value_at_quantile(0.99),
-        p999_us: all.value_at_quantile(0.999),
+        rpcs_per_s: latencies_us.len() as f64 / began.elapsed().as_secs_f64(),
+        p50_us: latencies_us.value_at_quantile(0.5),
+        p99_us: latencies_us.value_at_quantile(0.99),
+        p999_us: latencies_us.value_at_quantile(0.999),
         failed: failed.into_inner().unwrap_or_else(PoisonError::into_inner),
     })
 }
--- a/crates/whinhill-standins/src/clients.rs
+++ b/crates/whinhill-standins/src/clients.rs
@@ -19,6 +19,11 @@
 use crate::day::Load;
 use crate::record::{Event, Recorder};
 
+/// Delay before a client retries an RPC.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// With less time than this left until its deadline an RPC is not retried.
+const MIN_TIME_TO_RETRY: Duration = Duration::from_millis(60);
+
 /// Names and addresses of the proxies over which clients are spread.
 pub type ProxyAddrs = Arc<Mutex<Vec<(Arc<str>, SocketAddr)>>>;
 
@@ -95,7 +100,8 @@
                 due = Instant::now();
                 continue;
             }
-            // Arrivals form a Poisson process. An RPC that is late is sent at once; its latency counts from its due time.
+            // Arrivals form a Poisson process. An RPC that is late is sent at once; its latency counts from its due
+            // time.
             let gap = -(1.0 - rng.random::<f64>()).ln() / rps;
             due += Duration::from_secs_f64(gap.min(1.0));
             while let Some(left) = due.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
@@ -154,6 +160,7 @@
             let chosen = {
                 let proxies = lock(&self.proxies);
                 match proxies.len() {
+                    // No proxy is up: the RPC is counted in `rpcs` and gets no answer.
                     0 => return,
                     count => proxies[(proxy_choice.wrapping_add(tries) % count as u64) as usize].clone(),
                 }
@@ -176,10 +183,10 @@
                 Err(error) => method_spec.effect == Effect::Idempotent || cannot_have_run(error),
             };
             let left = until.saturating_duration_since(Instant::now());
-            if !may_retry || tries > u64::from(self.retries[method]) || left < Duration::from_millis(60) {
+            if !may_retry || tries > u64::from(self.retries[method]) || left < MIN_TIME_TO_RETRY {
                 break (chosen.0, result);
             }
-            thread::sleep(Duration::from_millis(50).min(left));
+            thread::sleep(RETRY_DELAY.min(left));
         };
         let took = due.elapsed();
         let ok = result.is_ok();
@@ -203,7 +210,7 @@
     }
 }
 
-/// Most different reasons of failures that are counted.
+/// Most distinct reasons of failures that are counted; failures with any further reason appear in no count.
 const MAX_REASONS: usize = 64;
 
 /// A short description of a failure, without details that differ from RPC to RPC.
--- a/crates/whinhill-standins/src/platform/cold_budget.rs
+++ b/crates/whinhill-standins/src/platform/cold_budget.rs
@@ -1,7 +1,7 @@
-//! Checks the work budget of cold servers. In no interval of `fall` may a cold server be sent more
-//! work than `fallMultiple` times its capacity in that interval. This is a
-//! violation only if at least two thirds of the work came from proxies that were informed of the
-//! server's start.
+//! Checks the work budget of cold servers. In no interval of [`COLD_BUDGET_INTERVAL`] (setting
+//! `fall`) may a cold server be sent more work than [`COLD_BUDGET_FACTOR`] (setting `fallMultiple`)
+//! times its capacity in that interval. This is a violation only if at least two thirds of the work
+//! came from proxies that were informed of the server's start.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     pub violations: Vec<Violation>,
 }
 
-/// The work that a cold server may be sent in one interval of `fall`.
+/// The work that a cold server may be sent in one [`COLD_BUDGET_INTERVAL`].
 fn budget() -> Duration {
     COLD_BUDGET_INTERVAL.mul_f64(COLD_BUDGET_FACTOR * WORKERS as f64 / f64::from(COLD_SLOWDOWN))
 }
--- a/crates/whinhill-standins/src/platform/collectors.rs
+++ b/crates/whinhill-standins/src/platform/collectors.rs
@@ -10,8 +10,8 @@
 use super::state::PlatformState;
 use super::traffic::ReportSums;
 
-/// A collector that cannot connect in this time tries again with its next report.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// A collector that cannot connect or write within this time tries again with its next report.
+const CONNECT_AND_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The collectors' connections to one assigner.
 pub struct Collectors {
@@ -38,9 +38,9 @@
         let stream = match &mut self.streams[zone] {
             Some(stream) => stream,
             none => {
-                let mut stream = TcpStream::connect_timeout(&self.addr, CONNECT_TIMEOUT)?;
+                let mut stream = TcpStream::connect_timeout(&self.addr, CONNECT_AND_WRITE_TIMEOUT)?;
                 stream.set_nodelay(true)?;
-                stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
+                stream.set_write_timeout(Some(CONNECT_AND_WRITE_TIMEOUT))?;
                 writeln!(stream, r#"{{"@type":"agent","site":"{}"}}"#, ZONES[zone])?;
                 none.insert(stream)
             }
--- a/crates/whinhill-standins/src/platform/lost_rpcs.rs
+++ b/crates/whinhill-standins/src/platform/lost_rpcs.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// No order has ended or gated a line at the server since it became unhealthy.
+    /// No order has ended a line at the server or set its level below 1 since it became unhealthy.
     BeforeNotice,
-    /// An order has ended or gated a line at the server, but none for this slice.
+    /// An order has ended a line at the server or set its level below 1, but none for this slice.
     NoticeToOrder,
     /// An order for this slice has not reached this proxy yet.
     OrderToApplied,
--- a/crates/whinhill-standins/src/platform/node.rs
+++ b/crates/whinhill-standins/src/platform/node.rs
@@ -33,7 +33,8 @@
 const MAX_THINK_TIME: Duration = Duration::from_millis(50);
 /// Time between the signals of a series.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(2);
-/// SIGHUP never comes in the first second of a process (operators' page on scored runs).
+/// The script's signals come no earlier than this after a process is ready. SIGHUP never comes in
+/// the first second of a process (operators' page on scored runs).
 const MIN_UPTIME: Duration = Duration::from_secs(1);
 /// Delay before a process that ended by itself is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
--- a/crates/whinhill-standins/src/platform/parameters.rs
+++ b/crates/whinhill-standins/src/platform/parameters.rs
@@ -44,6 +44,7 @@
 /// The number of proxies in most runs, and in runs with many proxies.
 pub const PROXIES: usize = 12;
 pub const MANY_PROXIES: usize = 150;
+/// Interval between the collectors' reports.
 pub const REPORT_PERIOD: Duration = Duration::from_millis(500);
 /// Limits for a proxy without a line and for a line at a draining server.
 pub const MAX_TIME_WITHOUT_LINE: Duration = Duration::from_secs(8);
@@ -72,9 +73,13 @@
 /// A class of RPCs.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
+    /// Its name in settings and orders.
     pub name: &'static str,
+    /// Whether its RPCs write.
     pub writes: bool,
+    /// The soft deadline.
     pub objective: Duration,
+    /// The deadline.
     pub deadline: Duration,
 }
 
--- a/crates/whinhill-standins/src/platform/soak.rs
+++ b/crates/whinhill-standins/src/platform/soak.rs
@@ -80,8 +80,11 @@
     pub reference_silence_to_last: DetectionReport,
     /// The most lines that were queued in an assigner's channel.
     pub channel_lines_most: u64,
+    /// The number of violations, of all rules.
     pub broken_rules: usize,
+    /// The number of violations of each rule.
     pub broken_by_rule: BTreeMap<Rule, usize>,
+    /// The first [`MAX_REPORTED_VIOLATIONS`] violations, by time.
     pub broken: Vec<Violation>,
 }
 
--- a/crates/whinhill-standins/src/platform/state.rs
+++ b/crates/whinhill-standins/src/platform/state.rs
@@ -67,6 +67,7 @@
     pub condition: Condition,
     /// Since the start of the platform; `None` if long before it.
     pub started: Option<Duration>,
+    /// The same as Unix time; 0 if long before the start of the platform.
     pub started_unix_ms: u64,
     /// By plane: when each worker becomes free.
     pub workers: [[Duration; WORKERS]; PLANE_COUNT],
@@ -74,7 +75,7 @@
     pub hanging_until: VecDeque<Duration>,
     /// Since when its condition is other than [`Condition::Well`].
     pub unhealthy_since: Option<Duration>,
-    /// The first order since then that ended or gated a line at this server.
+    /// When the first order since then ended a line at this server or set its level below 1.
     pub noticed_at: Option<Duration>,
 }
 
@@ -129,8 +130,10 @@
 pub struct Slice {
     /// The assigner that has custody of the slice.
     pub holder: Option<usize>,
+    /// The server that is the slice's line.
     pub line: Option<usize>,
-    /// The last order that ended or gated the slice's line: at which server, and when.
+    /// The last order that ended the slice's line or set its level below 1: at which server, and
+    /// when.
     pub last_end: Option<(usize, Duration)>,
     /// Increases with each change of the holder, so that orders of an earlier holder are no longer
     /// applied.
--- a/crates/whinhill-standins/src/platform/streams.rs
+++ b/crates/whinhill-standins/src/platform/streams.rs
@@ -50,7 +50,7 @@
 const RESET_FRACTION: f64 = 0.25;
 /// The longest time until the relay notices a broken stream.
 const MAX_NOTICE_DELAY: Duration = Duration::from_millis(2600);
-/// The longest time until a broken stream returns.
+/// The longest time from when the relay has noticed a broken stream until it returns.
 const MAX_RETURN_DELAY: Duration = Duration::from_secs(2);
 /// How long a flapping stream is up, and how long it is down.
 const FLAP_UP_TIME: Duration = Duration::from_millis(500);
@@ -85,7 +85,7 @@
     pub acks_late_until: Duration,
     /// The stream resumes after a silence: the proxy then receives the last acknowledgement request
     /// with all that was queued.
-    owes_ack: bool,
+    ack_pending: bool,
     /// The number of losses so far. A step that was planned for an earlier loss is skipped.
     losses: u32,
 }
@@ -212,7 +212,7 @@
                 StreamStep::Notice => self.notice_loss(proxy, node),
                 StreamStep::Return if stream.left => self.rejoin(proxy, node),
                 StreamStep::Resume if stream.state == StreamState::Lost && !stream.left => {
-                    self.streams[proxy][node].owes_ack = true;
+                    self.streams[proxy][node].ack_pending = true;
                     self.bring_up(proxy, node);
                 }
                 StreamStep::Return | StreamStep::Resume => {}
@@ -234,7 +234,7 @@
         if stream.state == StreamState::Lost {
             return;
         }
-        (stream.state, stream.store_read_at, stream.owes_ack) = (StreamState::Lost, None, false);
+        (stream.state, stream.store_read_at, stream.ack_pending) = (StreamState::Lost, None, false);
         stream.losses += 1;
         self.note(format!("proxy {proxy} loses its stream to n{node}"));
         self.drop_messages(proxy, node);
@@ -282,8 +282,8 @@
             }
         }
         self.note(format!("proxy {proxy} has read the store of n{node}"));
-        let owes_ack = std::mem::take(&mut self.streams[proxy][node].owes_ack);
-        if let Some(ack_seq) = self.nodes[node].last_ack_seq.filter(|_| owes_ack) {
+        let ack_pending = std::mem::take(&mut self.streams[proxy][node].ack_pending);
+        if let Some(ack_seq) = self.nodes[node].last_ack_seq.filter(|_| ack_pending) {
             self.send_ack(proxy, node, ack_seq, Duration::ZERO);
         }
     }
--- a/crates/whinhill-standins/src/play/assigners.rs
+++ b/crates/whinhill-standins/src/play/assigners.rs
@@ -100,8 +100,8 @@
             probes: self.day.probes,
             answer_within_ms: 6000,
             proxies_most: 1024,
-            // Grants wait until the table set is on disk. On a slow disk that wait would hide that the assigner
-            // skips the other one, so an assigner with this sabotage keeps no file.
+            // Grants wait until the table set is on disk. On a slow disk that would hide that a sabotaged assigner
+            // does not wait for acknowledgements and for writes to settle, so it keeps no file.
             state_dir: (!skips_the_wait).then(|| dir.to_path_buf()),
             status_file: None,
             operators: Some(loopback()),
--- a/crates/whinhill-standins/src/play/load.rs
+++ b/crates/whinhill-standins/src/play/load.rs
@@ -46,7 +46,7 @@
     pub(super) latencies_us: Arc<Mutex<Histogram<u64>>>,
 }
 
-/// LoadGenerator that call.
+/// The load generator, running in a thread of its own.
 pub(super) struct RunningLoad {
     thread: thread::JoinHandle<()>,
     stop: Arc<AtomicBool>,
@@ -60,7 +60,7 @@
         let result =
             LoadResult { counters: Arc::default(), latencies_us: Arc::new(Mutex::new(latencies_us)) };
         let stop = Arc::new(AtomicBool::new(false));
-        let clients = LoadGenerator {
+        let generator = LoadGenerator {
             service: fleet.service.clone(),
             load: fleet.day.load.clone(),
             proxies: fleet.proxy_addrs.clone(),
@@ -73,7 +73,7 @@
             counters: result.counters.clone(),
             latencies_us: result.latencies_us.clone(),
         };
-        let thread = thread::Builder::new().name("load".into()).spawn(move || clients.run());
+        let thread = thread::Builder::new().name("load".into()).spawn(move || generator.run());
         Ok(RunningLoad { thread: thread.map_err(io_at("the load"))?, stop, result })
     }
 
--- a/crates/whinhill-standins/src/play/outcome.rs
+++ b/crates/whinhill-standins/src/play/outcome.rs
@@ -173,6 +173,7 @@
         overload_window: ms(day.rules.fall_ms),
         max_backlog: day.channel.backlog,
         // Assigners read the roster's file every 100 ms, so they may learn of a change that much after it was written.
+        // The rest is for delays of servers and links.
         slack: ms(150),
     }
 }
--- a/crates/whinhill-standins/src/play/proxies.rs
+++ b/crates/whinhill-standins/src/play/proxies.rs
@@ -63,6 +63,7 @@
             links.push(Arc::new(link));
         }
         let client_link = match self.day.has_links(Hop::ClientsProxies) {
+            // The target is set once the proxy listens.
             true => Some(Link::start(loopback(), |_| {}).map_err(io_at("a link"))?),
             false => None,
         };
--- a/crates/whinhill-standins/src/play/rollbacks.rs
+++ b/crates/whinhill-standins/src/play/rollbacks.rs
@@ -27,9 +27,13 @@
 /// What became of a day's rollbacks, summed over the assigners.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Rollbacks {
+    /// Rollbacks that the assigners list, whether ended or not.
     pub asked: u64,
+    /// Those of them that have ended.
     pub ended: u64,
+    /// Slices whose move was completed.
     pub slices_done: u64,
+    /// Slices whose move was abandoned.
     pub slices_abandoned: u64,
     /// Time from each request until the rollback had ended at every assigner and every proxy had acknowledged its
     /// tables. Assigners evaluate rollbacks once a second.
--- a/crates/whinhill-standins/src/play/schedule.rs
+++ b/crates/whinhill-standins/src/play/schedule.rs
@@ -30,7 +30,8 @@
 /// The actions that follow from an action, each with its delay after it.
 pub(super) type FollowUps = Vec<(Duration, Action)>;
 
-/// The pending actions, ordered by time from the day's start, and at the same time by the order in which they were added.
+/// The pending actions, ordered by time from the day's start, and at the same time by the order in which they were
+/// added.
 struct Schedule {
     actions: BTreeMap<(Duration, usize), Action>,
     next_seq: usize,
--- a/crates/whinhill-standins/src/server.rs
+++ b/crates/whinhill-standins/src/server.rs
@@ -89,7 +89,8 @@
 impl Server {
     /// Starts a server that serves RPCs on the threads of `workers`.
     pub fn start(config: ServerConfig, workers: &Workers, recorder: &Recorder) -> io::Result<Self> {
-        // The server has its own driver, so that dropping the server ends its connections, as the end of a process would.
+        // The server has its own driver, so that dropping the server ends its connections, as the end of a process
+        // would.
         let drivers = Drivers::start("server", 1)?;
         let inner_cell: Arc<std::sync::OnceLock<Arc<Inner>>> = Arc::default();
         let (cell_for_calls, pool) = (inner_cell.clone(), workers.clone());
@@ -258,7 +259,8 @@
         true
     }
 
-    /// Executes the work of a call in steps of at most 10 ms, each at the current speed. False if the call was cancelled.
+    /// Executes the work of a call in steps of at most 10 ms, each at the current speed. False if the call was
+    /// cancelled.
     fn execute(&self, call: &mut ServerCall, work: f64, slowdown: f64) -> bool {
         let mut left = work;
         while left > 0.0 {
