--- a/crates/whinhill-cli/src/bench.rs
+++ b/crates/whinhill-cli/src/bench.rs
@@ -18,7 +18,7 @@
 #[derive(Subcommand)]
 pub enum BenchCommand {
     /// Run a day of a large fleet with all proxies on incremental xDS, then with all on state-of-the-world xDS.
-    ServerView {
+    Fleet {
         #[arg(default_value = "days/fleet.json5")]
         file: PathBuf,
         /// Folder in which configurations, logs and status are kept.
@@ -49,7 +49,7 @@
     let program = std::env::current_exe().map_err(CommandError::runtime)?;
     let scratch = tempfile::tempdir().map_err(CommandError::runtime)?;
     match command {
-        BenchCommand::ServerView { file, out } => {
+        BenchCommand::Fleet { file, out } => {
             let day: Day = config::read_file(&file, Day::validate)?;
             let out = out.unwrap_or_else(|| scratch.path().to_path_buf());
             let figures = bench::measure_fleet(&day, &program, &out).map_err(CommandError::runtime)?;
